--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -16,7 +16,7 @@
 
 from benchmarks.world import make_host
 from citronspring.balancer import Balancer
-from citronspring.control.envelope import Sealer
+from citronspring.control.envelope import DatagramEncoder
 from citronspring.flags import ACK, FIN, RST, SYN
 from citronspring.messages import (
     ControlReceived,
@@ -84,7 +84,9 @@
     offered_at: dict[str, float] = field(default_factory=dict)
     mail: list[tuple[str, ControlReceived]] = field(default_factory=list)
     control_bytes: int = 0
-    sealer: Sealer = field(default_factory=lambda: Sealer("host-00", bytes(16), 1))
+    encoder: DatagramEncoder = field(
+        default_factory=lambda: DatagramEncoder("host-00", bytes(16), 1)
+    )
     lifetime: float = 60.0
     #: Service address of each flow that is being opened.
     addresses: dict[FlowKey, str] = field(default_factory=dict)
@@ -169,7 +171,7 @@
                 case Refuse(packet):
                     self.refused[self.addresses.pop(packet.flow)] += 1
                 case SendControl(receiver, message):
-                    datagram = self.sealer.seal(message, receiver, 1)  # type: ignore[arg-type]
+                    datagram = self.encoder.encode_datagram(message, receiver, 1)  # type: ignore[arg-type]
                     self.control_bytes += len(datagram) + HEADERS
                     self.mail.append((receiver, ControlReceived(host_id, message)))
                 case ProbeTarget(target_id):
--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -11,7 +11,7 @@
 from benchmarks.gossip import EPOCH, KEY, Fleet
 from benchmarks.result import Result
 from citronspring.balancer import Balancer
-from citronspring.control.envelope import Opener, Sealer
+from citronspring.control.envelope import DatagramDecoder, DatagramEncoder
 from citronspring.control.messages import Ping
 from citronspring.daemons.host import HostDaemon
 from citronspring.entities import (
@@ -103,11 +103,13 @@
 
 def opening_time() -> float:
     """Return the seconds it takes to seal and open one message."""
-    sealer = Sealer("host-1", KEY, EPOCH)
-    opener = Opener("host-0", (KEY,))
+    encoder = DatagramEncoder("host-1", KEY, EPOCH)
+    decoder = DatagramDecoder("host-0", (KEY,))
     started_at = time.process_time()
     for number in range(MESSAGES):
-        opener.open(sealer.seal(Ping(number, 1), "host-0", EPOCH), EPOCH)
+        decoder.decode_datagram(
+            encoder.encode_datagram(Ping(number, 1), "host-0", EPOCH), EPOCH
+        )
     return (time.process_time() - started_at) / MESSAGES
 
 
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -12,10 +12,10 @@
 from citronspring.control.budget import (
     IP_UDP_HEADERS,
     ControlBudget,
-    Urgency,
-    urgency_of,
+    Priority,
+    priority_of,
 )
-from citronspring.control.envelope import Sealer
+from citronspring.control.envelope import DatagramEncoder
 from citronspring.entities import (
     Account,
     ChangeRecord,
@@ -66,7 +66,7 @@
 class Wire:
     """One host's way to the control network."""
 
-    sealer: Sealer
+    encoder: DatagramEncoder
     budget: ControlBudget[tuple[str, object, int]] = field(
         default_factory=ControlBudget
     )
@@ -87,16 +87,16 @@
             return
         wire = self.wires[host_id]
         now = EPOCH + int(self.now * 1000)
-        size = len(wire.sealer.seal(action.message, action.host_id, now))
+        size = len(wire.encoder.encode_datagram(action.message, action.host_id, now))
         item = (action.host_id, action.message, size)
-        wire.budget.offer(item, urgency_of(action.message), size, self.now)
+        wire.budget.enqueue(item, priority_of(action.message), size, self.now)
         self.flush(host_id)
 
     def flush(self, host_id: str) -> None:
         """Send what the budget allows."""
         wire = self.wires[host_id]
-        for peer, message, size in wire.budget.release(self.now):
-            if urgency_of(message) is Urgency.BULK:
+        for peer, message, size in wire.budget.dequeue(self.now):
+            if priority_of(message) is Priority.BULK:
                 wire.bulk_bytes_sent += size + IP_UDP_HEADERS
             else:
                 wire.bytes_sent += size + IP_UDP_HEADERS
@@ -150,8 +150,8 @@
         host = make_host(index)
         peers = [make_host(other) for other in range(known) if other != index]
         core = Balancer.from_config(host, peers, incarnation=incarnation)
-        sealer = Sealer(host.host_id, KEY, incarnation)
-        self.network.wires[host.host_id] = Wire(sealer)
+        encoder = DatagramEncoder(host.host_id, KEY, incarnation)
+        self.network.wires[host.host_id] = Wire(encoder)
         self.network.add_host(core)
         return core
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -176,7 +176,7 @@
     """Kill a host; start it again a moment later, knowing its seeds alone."""
     host_id = f"host-{index}"
     fleet.network.kill_host(host_id)
-    incarnation = fleet.network.wires[host_id].sealer.boot_time + 60_000
+    incarnation = fleet.network.wires[host_id].encoder.boot_time + 60_000
 
     def start() -> None:
         fleet.start(index, SEEDS, incarnation)
--- a/citronspring/admin/bodies.py
+++ b/citronspring/admin/bodies.py
@@ -14,7 +14,7 @@
     MalformedRequestError,
     RequestTimeoutError,
 )
-from citronspring.settings_errors import shown
+from citronspring.settings_errors import escape
 
 if TYPE_CHECKING:
     from starlette.requests import Request
@@ -99,7 +99,7 @@
         json.dumps(value, ensure_ascii=False).encode()
     except (ValueError, RecursionError) as error:
         raise MalformedRequestError(
-            f"the body is not JSON: {shown(error)}", "send a JSON object in UTF-8"
+            f"the body is not JSON: {escape(error)}", "send a JSON object in UTF-8"
         ) from None
     return value
 
@@ -116,6 +116,6 @@
     except ValidationError as error:
         first = error.errors(include_url=False, include_input=False)[0]
         key = ".".join(str(part) for part in first["loc"]) or "body"
-        message = f"{shown(key)}: {shown(first['msg'])}"
+        message = f"{escape(key)}: {escape(first['msg'])}"
         known = ", ".join(model.model_fields)
         raise MalformedRequestError(message, f"known keys are {known}") from None
--- a/citronspring/admin/status.py
+++ b/citronspring/admin/status.py
@@ -11,7 +11,7 @@
 from citronspring.admin.operations import Call, Operation, accepted, wait_of
 from citronspring.admin.problems import JsonResponse
 from citronspring.admin.tokens import Role
-from citronspring.configuration.changes import revision_seen
+from citronspring.configuration.changes import change_id_revision
 from citronspring.entities import HostState
 from citronspring.metrics import metrics_text
 
@@ -31,7 +31,7 @@
     Clients make their change ids from it: from an older one the configuration
     could not tell that a change was never committed.
     """
-    stored = revision_seen(call.configuration.new_change_id("status"))
+    stored = change_id_revision(call.configuration.new_change_id("status"))
     return max(stored, call.host.core.tables.revision)
 
 
--- a/citronspring/balancer.py
+++ b/citronspring/balancer.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from citronspring.control.tables import HashedSource, JoinRow, MembershipTable
+from citronspring.control.tables import HashedRandomSource, JoinRow, MembershipTable
 from citronspring.entities import HostState
 from citronspring.messages import (
     ControlReceived,
@@ -96,7 +96,7 @@
             Random choices; derived from host and incarnation if not given.
         """
         tables = Tables(host.host_id, host.zone, host.group, max_flows)
-        rng = rng or HashedSource.from_host(host.host_id, incarnation)
+        rng = rng or HashedRandomSource.from_host(host.host_id, incarnation)
         seeds = {member.host_id: member for member in peers}
         tables.membership = MembershipTable(rng, seeds=frozenset(seeds))
         tables.membership.join = JoinRow() if seeds else None
@@ -123,8 +123,8 @@
         """
         actions: list[Action] = []
         tables = self.tables
-        ticked_at = tables.fence.ticked_at
-        if ticked_at is not None and now - ticked_at >= JUMP:
+        last_tick_at = tables.fence.last_tick_at
+        if last_tick_at is not None and now - last_tick_at >= JUMP:
             check_clock(tables, now, actions)
         if tables.fence.until is not None and isinstance(event, PACKET_EVENTS):
             drop_fenced(tables, actions)
--- a/citronspring/cli/client.py
+++ b/citronspring/cli/client.py
@@ -16,7 +16,7 @@
 from citronspring.cli.files import read_token
 from citronspring.configuration.changes import make_change_id
 from citronspring.errors import OutcomeUnknownError
-from citronspring.settings_errors import shown
+from citronspring.settings_errors import escape
 
 if TYPE_CHECKING:
     from citronspring.cli.commands import Invocation
@@ -144,7 +144,7 @@
         except NOT_SENT as error:
             return Error(NotTaken(f"{host}: {reason_of(error)}"))
         except (httpx.InvalidURL, UnicodeError) as error:
-            message = f"{shown(host)} is no URL: {shown(error)}"
+            message = f"{escape(host)} is no URL: {escape(error)}"
             raise UsageError(message, "give --host=http://ADDRESS:PORT") from None
         except httpx.HTTPError as error:
             return Error(Lost(f"{host}: {reason_of(error)}"))
@@ -156,7 +156,7 @@
     try:
         return ssl.create_default_context(cafile=ca_file)
     except (OSError, ValueError) as error:
-        message = f"--ca_file={shown(ca_file)}: {shown(error)}"
+        message = f"--ca_file={escape(ca_file)}: {escape(error)}"
         raise UsageError(message, "name a PEM file of certificates") from None
 
 
@@ -168,7 +168,7 @@
 
 def reason_of(error: Exception) -> str:
     """Return why no answer came, in one line."""
-    return shown(error) or type(error).__name__
+    return escape(error) or type(error).__name__
 
 
 def read_answer(host: str, response: httpx.Response) -> Result[Body, Failure]:
--- a/citronspring/cli/files.py
+++ b/citronspring/cli/files.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from citronspring.cli.exit_codes import InputFileError
-from citronspring.settings_errors import shown
+from citronspring.settings_errors import escape
 
 JSON_SUFFIX = ".json"
 
@@ -20,14 +20,14 @@
         table = json.loads(text) if name.endswith(JSON_SUFFIX) else tomllib.loads(text)
         json.dumps(table, allow_nan=False)
     except OSError as error:
-        message = f"{shown(name)}: cannot be read: {error.strerror}"
+        message = f"{escape(name)}: cannot be read: {error.strerror}"
         raise InputFileError(message, "name a readable TOML or JSON file") from None
     except (ValueError, TypeError, RecursionError) as error:
-        message = f"{shown(name)}: {shown(error)}"
+        message = f"{escape(name)}: {escape(error)}"
         remedy = "write it as TOML, or as JSON in a file named *.json"
         raise InputFileError(message, remedy) from None
     if not isinstance(table, dict):
-        raise InputFileError(f"{shown(name)}: holds no table", "write keys and values")
+        raise InputFileError(f"{escape(name)}: holds no table", "write keys and values")
     return table
 
 
@@ -38,9 +38,9 @@
     try:
         token = Path(name).read_text("ascii").strip()
     except (OSError, ValueError):
-        message = f"{shown(name)}: no token can be read"
+        message = f"{escape(name)}: no token can be read"
         raise InputFileError(message, "name a readable file with the token") from None
     if not token.isprintable() or not token:
-        message = f"{shown(name)}: holds no token"
+        message = f"{escape(name)}: holds no token"
         raise InputFileError(message, "write the token on one line")
     return token
--- a/citronspring/cli/main.py
+++ b/citronspring/cli/main.py
@@ -32,7 +32,7 @@
 )
 from citronspring.cli.try_command import try_system
 from citronspring.errors import CitronspringError
-from citronspring.settings_errors import shown
+from citronspring.settings_errors import escape
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
@@ -105,7 +105,7 @@
     known = sorted({item.words[0] for item in COMMANDS})
     close = get_close_matches(words[0], known, n=1)
     remedy = f"did you mean {close[0]}?" if close else "see citronspring --help"
-    return UsageError(f"no command {shown(words[0])}", remedy)
+    return UsageError(f"no command {escape(words[0])}", remedy)
 
 
 def known_prefix(words: Sequence[str]) -> tuple[str, ...]:
--- a/citronspring/cli/output.py
+++ b/citronspring/cli/output.py
@@ -5,7 +5,7 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from citronspring.settings_errors import shown
+from citronspring.settings_errors import escape
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -44,4 +44,4 @@
 
 def text_of(cell: object) -> str:
     """Return a cell; what a host sent may hold no control characters."""
-    return "-" if cell is None else shown(cell)
+    return "-" if cell is None else escape(cell)
--- a/citronspring/configuration/catalog.py
+++ b/citronspring/configuration/catalog.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from citronspring.configuration.shards import AccountEntry, Release
+    from citronspring.configuration.shards import AccountEntry, AddressRelease
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
         for shard in self.shards:
             yield from shard.accounts.items()
 
-    def releases(self) -> Iterator[Release]:
+    def releases(self) -> Iterator[AddressRelease]:
         """Yield every address that left an account."""
         for shard in self.shards:
             yield from shard.releases
--- a/citronspring/configuration/changes.py
+++ b/citronspring/configuration/changes.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from citronspring.configuration.plain import check_plain
+from citronspring.configuration.plain_data import check_plain_data
 from citronspring.errors import ConfigurationError
 
 #: A revision the client knew, a dash, and a token of the client's own.
 CHANGE_ID = re.compile(r"(0|[1-9][0-9]{0,17})-([A-Za-z0-9_.-]{1,64})")
 
 #: Longest name of an author, in characters.
-AUTHOR_LENGTH = 64
+MAX_AUTHOR_LENGTH = 64
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -98,11 +98,11 @@
         Tells the ids of all clients apart, for example a random UUID.
     """
     change_id = f"{revision}-{token}"
-    revision_seen(change_id)
+    change_id_revision(change_id)
     return change_id
 
 
-def revision_seen(change_id: str) -> int:
+def change_id_revision(change_id: str) -> int:
     """Return the revision that the maker of a change id had seen.
 
     Raises ConfigurationError when the id has another form.
@@ -119,7 +119,7 @@
 def check_change(change: AnyChange) -> None:
     """Raise ConfigurationError when a change is not formed as its class says."""
     check_text("change id", change.change_id)
-    revision_seen(change.change_id)
+    change_id_revision(change.change_id)
     check_text("author", change.author)
     check_author(change.author)
     if change.if_revision is not None and type(change.if_revision) is not int:
@@ -146,13 +146,13 @@
     """Raise ConfigurationError when a value is no table of plain data."""
     if not isinstance(value, Mapping):
         raise ConfigurationError(f"{what} has no keys", "write it as a table")
-    check_plain(what, dict(value))
+    check_plain_data(what, dict(value))
 
 
 def check_author(author: str) -> None:
     """Raise ConfigurationError when an author's name is not usable."""
-    if not 0 < len(author) <= AUTHOR_LENGTH:
+    if not 0 < len(author) <= MAX_AUTHOR_LENGTH:
         raise ConfigurationError(
             f"author {author[:100]!r} is not a name",
-            f"give 1 to {AUTHOR_LENGTH} characters",
+            f"give 1 to {MAX_AUTHOR_LENGTH} characters",
         )
--- a/citronspring/configuration/difference.py
+++ b/citronspring/configuration/difference.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING, Any
 
-from citronspring.configuration.explain import shown
+from citronspring.configuration.validation_errors import escape
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from citronspring.configuration.rendering import Rendered
+    from citronspring.configuration.rendering import RenderedAccount
     from citronspring.configuration.shards import AccountEntry
 
 #: Most lines kept of one change.
@@ -29,7 +29,7 @@
         lines.append(f"template: {before.template} -> {after.template}")
     lines += mapping_difference(before.parameters, after.parameters)
     lines += target_difference(before.rendered, after.rendered)
-    return shortened(lines)
+    return truncate_lines(lines)
 
 
 def mapping_difference(
@@ -42,14 +42,14 @@
         if old == new:
             continue
         if isinstance(old, list) and isinstance(new, list):
-            lines += [f"{key}: + {shown(item)}" for item in new if item not in old]
-            lines += [f"{key}: - {shown(item)}" for item in old if item not in new]
+            lines += [f"{key}: + {escape(item)}" for item in new if item not in old]
+            lines += [f"{key}: - {escape(item)}" for item in old if item not in new]
         else:
-            lines.append(f"{key}: {shown(old)} -> {shown(new)}")
+            lines.append(f"{key}: {escape(old)} -> {escape(new)}")
     return lines
 
 
-def target_difference(before: Rendered, after: Rendered) -> list[str]:
+def target_difference(before: RenderedAccount, after: RenderedAccount) -> list[str]:
     """Return a line per target that leaves, comes back or is forgotten."""
     old = {target.target_id: target for target in before.account.targets}
     new = {target.target_id: target for target in after.account.targets}
@@ -63,7 +63,7 @@
     return lines
 
 
-def shortened(lines: list[str]) -> tuple[str, ...]:
+def truncate_lines(lines: list[str]) -> tuple[str, ...]:
     """Return the first lines and how many more there are."""
     if len(lines) <= LINES_KEPT:
         return tuple(lines)
--- a/citronspring/configuration/models.py
+++ b/citronspring/configuration/models.py
@@ -17,16 +17,20 @@
     model_validator,
 )
 
-from citronspring.configuration.explain import explained, first_finding, shown
+from citronspring.configuration.validation_errors import (
+    configuration_error,
+    escape,
+    first_error_text,
+)
 from citronspring.entities import AccountLimits, Endpoint, ServiceAddress
 from citronspring.entities import Protocol as IpProtocol
 from citronspring.errors import ConfigurationError
 
 #: Most service addresses, targets and zones of one account.
-ACCOUNT_ROWS = 512
+MAX_ACCOUNT_ITEMS = 512
 
 #: Largest template as JSON, in bytes.
-TEMPLATE_BYTES = 16_384
+MAX_TEMPLATE_BYTES = 16_384
 
 
 def canonical_ip(text: str) -> str:
@@ -57,7 +61,7 @@
 Text = Annotated[str, Field(max_length=1024)]
 
 
-class BorderModel(BaseModel):
+class StrictModel(BaseModel):
     """Refuse unknown keys, and other types than the named ones."""
 
     model_config = ConfigDict(
@@ -65,7 +69,7 @@
     )
 
 
-class ServiceAddressModel(BorderModel):
+class ServiceAddressModel(StrictModel):
     """What callers connect to."""
 
     ip: IpText
@@ -77,7 +81,7 @@
         return ServiceAddress(self.ip, self.port, IpProtocol[self.protocol.upper()])
 
 
-class TargetModel(BorderModel):
+class TargetModel(StrictModel):
     """A server of the account."""
 
     target_id: Name
@@ -88,7 +92,7 @@
     health: EndpointText | None = None
 
 
-class LimitsModel(BorderModel):
+class LimitsModel(StrictModel):
     """Limits of the account, with the defaults of ``AccountLimits``."""
 
     max_connections: int = Field(default=100_000, ge=0, le=100_000_000)
@@ -103,12 +107,12 @@
         return AccountLimits(**self.model_dump())
 
 
-class AccountModel(BorderModel):
+class AccountModel(StrictModel):
     """An account with every parameter filled in."""
 
-    addresses: list[ServiceAddressModel] = Field(max_length=ACCOUNT_ROWS)
-    targets: list[TargetModel] = Field(max_length=ACCOUNT_ROWS)
-    zones: list[Name] = Field(max_length=ACCOUNT_ROWS)
+    addresses: list[ServiceAddressModel] = Field(max_length=MAX_ACCOUNT_ITEMS)
+    targets: list[TargetModel] = Field(max_length=MAX_ACCOUNT_ITEMS)
+    zones: list[Name] = Field(max_length=MAX_ACCOUNT_ITEMS)
     limits: LimitsModel = Field(default_factory=LimitsModel)
 
 
@@ -121,12 +125,14 @@
     "address": TypeAdapter(Annotated[IpText, Field(strict=True)]),
     "endpoint": TypeAdapter(Annotated[EndpointText, Field(strict=True)]),
     "addresses": TypeAdapter(
-        Annotated[list[ServiceAddressModel], Field(max_length=ACCOUNT_ROWS)]
+        Annotated[list[ServiceAddressModel], Field(max_length=MAX_ACCOUNT_ITEMS)]
     ),
     "targets": TypeAdapter(
-        Annotated[list[dict[ParameterName, JsonValue]], Field(max_length=ACCOUNT_ROWS)]
+        Annotated[
+            list[dict[ParameterName, JsonValue]], Field(max_length=MAX_ACCOUNT_ITEMS)
+        ]
     ),
-    "zones": TypeAdapter(Annotated[list[Name], Field(max_length=ACCOUNT_ROWS)]),
+    "zones": TypeAdapter(Annotated[list[Name], Field(max_length=MAX_ACCOUNT_ITEMS)]),
 }
 
 ParameterType = Literal[
@@ -142,7 +148,7 @@
 ]
 
 
-class ParameterModel(BorderModel):
+class ParameterModel(StrictModel):
     """One typed parameter of a template."""
 
     type: ParameterType
@@ -169,7 +175,7 @@
         try:
             checked = adapter.validate_python(value)
         except ValidationError as error:
-            raise ValueError(first_finding(error)) from error
+            raise ValueError(first_error_text(error)) from error
         if isinstance(checked, (int, float)):
             self.check_range(checked)
         return adapter.dump_python(checked, mode="json", exclude_defaults=True)
@@ -177,12 +183,12 @@
     def check_range(self, value: float) -> None:
         """Raise ValueError when a number lies outside the range."""
         if self.minimum is not None and value < self.minimum:
-            raise ValueError(f"{shown(value)} is below {self.minimum}")
+            raise ValueError(f"{escape(value)} is below {self.minimum}")
         if self.maximum is not None and value > self.maximum:
-            raise ValueError(f"{shown(value)} is above {self.maximum}")
+            raise ValueError(f"{escape(value)} is above {self.maximum}")
 
 
-class BodyModel(BorderModel):
+class BodyModel(StrictModel):
     """What a template makes of its parameters; ``{name}`` stands for one."""
 
     addresses: JsonValue = Field(default_factory=list)
@@ -205,7 +211,7 @@
         return check_keys(defaults, TargetModel)
 
 
-class TemplateModel(BorderModel):
+class TemplateModel(StrictModel):
     """A kind of service, written once by the operators."""
 
     name: Name
@@ -218,11 +224,11 @@
         try:
             template = cls.model_validate(raw)
         except ValidationError as error:
-            raise explained(error, "template", cls) from error
+            raise configuration_error(error, "template", cls) from error
         size = len(template.model_dump_json())
-        if size > TEMPLATE_BYTES:
+        if size > MAX_TEMPLATE_BYTES:
             raise ConfigurationError(
-                f"template has {size} bytes", f"keep to {TEMPLATE_BYTES}"
+                f"template has {size} bytes", f"keep to {MAX_TEMPLATE_BYTES}"
             )
         return template
 
@@ -234,5 +240,5 @@
     unknown = sorted(set(values) - set(model.model_fields))
     if unknown:
         known = ", ".join(model.model_fields)
-        raise ValueError(f"unknown key {shown(unknown[0])}; known are {known}")
+        raise ValueError(f"unknown key {escape(unknown[0])}; known are {known}")
     return values
--- a/citronspring/configuration/moves.py
+++ b/citronspring/configuration/moves.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from citronspring.configuration.addresses import addresses_of
-from citronspring.configuration.shards import Release
+from citronspring.configuration.shards import AddressRelease
 from citronspring.errors import MoveRefusedError
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
     from citronspring.configuration.catalog import Catalog
     from citronspring.configuration.shards import AccountEntry
 #: The entry of each account a commit changes, None where it deletes one.
-Touched = dict[str, "AccountEntry | None"]
+ChangedEntries = dict[str, "AccountEntry | None"]
 
 
 def addresses_of_entry(entry: AccountEntry | None) -> frozenset[str]:
@@ -27,32 +27,38 @@
     return addresses_of(entry.rendered.account) if entry else frozenset()
 
 
-def taken_by(catalog: Catalog, touched: Touched) -> dict[str, str]:
+def newly_taken_addresses(
+    catalog: Catalog, changed_entries: ChangedEntries
+) -> dict[str, str]:
     """Return the account id that newly takes each address.
 
     Raises MoveRefusedError when two of the changed accounts take one address.
     """
     taken: dict[str, str] = {}
-    for account_id, entry in touched.items():
+    for account_id, entry in changed_entries.items():
         before = addresses_of_entry(catalog.entry(account_id))
         for address in sorted(addresses_of_entry(entry) - before):
             if address in taken:
-                raise in_use(address, account_id, taken[address])
+                raise address_in_use_error(address, account_id, taken[address])
             taken[address] = account_id
     return taken
 
 
-def refuse_used(catalog: Catalog, touched: Touched, taken: Mapping[str, str]) -> None:
+def refuse_used(
+    catalog: Catalog, changed_entries: ChangedEntries, taken: Mapping[str, str]
+) -> None:
     """Raise MoveRefusedError when an address is still in another account."""
     for shard in catalog.shards:
-        for address in shard.holders.keys() & taken.keys():
-            holder = shard.holders[address]
-            current = touched.get(holder, shard.accounts[holder])
+        for address in shard.accounts_by_address.keys() & taken.keys():
+            holder = shard.accounts_by_address[address]
+            current = changed_entries.get(holder, shard.accounts[holder])
             if taken[address] != holder and address in addresses_of_entry(current):
-                raise in_use(address, taken[address], holder)
+                raise address_in_use_error(address, taken[address], holder)
 
 
-def in_use(address: str, wanted_by: str, held_by: str) -> MoveRefusedError:
+def address_in_use_error(
+    address: str, wanted_by: str, held_by: str
+) -> MoveRefusedError:
     """Make the error of an address that two accounts want."""
     return MoveRefusedError(
         f"account {wanted_by}: {address} belongs to account {held_by}",
@@ -62,30 +68,30 @@
 
 
 def new_releases(
-    catalog: Catalog, touched: Touched, revisions: Mapping[str, int]
-) -> list[Release]:
+    catalog: Catalog, changed_entries: ChangedEntries, revisions: Mapping[str, int]
+) -> list[AddressRelease]:
     """Return the addresses that leave the changed accounts.
 
     Parameters
     ----------
     catalog : Catalog
         The configuration before.
-    touched : dict
+    changed_entries : dict
         The entries after.
     revisions : mapping of str to int
         Revision from which the entry of each changed account is in force.
     """
     releases = []
-    for account_id, entry in touched.items():
+    for account_id, entry in changed_entries.items():
         before = addresses_of_entry(catalog.entry(account_id))
         for address in sorted(before - addresses_of_entry(entry)):
-            releases.append(Release(address, account_id, revisions[account_id]))
+            releases.append(AddressRelease(address, account_id, revisions[account_id]))
     return releases
 
 
-def releases_in_the_way(
-    taken: Mapping[str, str], releases: Iterable[Release]
-) -> list[Release]:
+def blocking_releases(
+    taken: Mapping[str, str], releases: Iterable[AddressRelease]
+) -> list[AddressRelease]:
     """Return the releases that zones must confirm before the commit."""
     return [
         release
@@ -95,7 +101,7 @@
 
 
 def refuse_unconfirmed(
-    releases: Iterable[Release], confirmed: Mapping[str, int]
+    releases: Iterable[AddressRelease], confirmed: Mapping[str, int]
 ) -> None:
     """Raise MoveRefusedError when a zone may still use an address as before.
 
--- a/citronspring/configuration/plain.py
+++ b/citronspring/configuration/plain_data.py
@@ -4,24 +4,26 @@
 
 import math
 
-from citronspring.configuration.explain import shown
+from citronspring.configuration.validation_errors import escape
 from citronspring.errors import ConfigurationError
 
 #: Most levels of lists and tables inside each other.
-LEVELS = 8
+MAX_DEPTH = 8
 
 #: Largest whole number, as every JSON reader holds it.
 LARGEST_INTEGER = 2**53
 
 
-def check_plain(what: str, value: object, levels: int = LEVELS) -> None:
+def check_plain_data(what: str, value: object, levels: int = MAX_DEPTH) -> None:
     """Raise ConfigurationError unless a value is plain data, naming the key.
 
     Deeper levels would overflow the stack of the code that renders them, and
     some numbers are written to the platform and cannot be read back.
     """
     if levels < 0:
-        raise ConfigurationError(f"{what[:200]}: too many levels", f"keep to {LEVELS}")
+        raise ConfigurationError(
+            f"{what[:200]}: too many levels", f"keep to {MAX_DEPTH}"
+        )
     match value:
         case None | bool() | str():
             return
@@ -31,14 +33,14 @@
             return
         case list():
             for index, item in enumerate(value):
-                check_plain(f"{what}.{index}", item, levels - 1)
+                check_plain_data(f"{what}.{index}", item, levels - 1)
         case dict():
             for key, item in value.items():
                 check_key(what, key)
-                check_plain(f"{what}.{shown(key)}", item, levels - 1)
+                check_plain_data(f"{what}.{escape(key)}", item, levels - 1)
         case _:
             raise ConfigurationError(
-                f"{what}: {shown(value)} cannot be stored",
+                f"{what}: {escape(value)} cannot be stored",
                 "use text, finite numbers of usual size, lists and tables",
             )
 
@@ -46,4 +48,4 @@
 def check_key(what: str, key: object) -> None:
     """Raise ConfigurationError unless a key is text."""
     if not isinstance(key, str):
-        raise ConfigurationError(f"{what}: key {shown(key)} is no text", "quote it")
+        raise ConfigurationError(f"{what}: key {escape(key)} is no text", "quote it")
--- a/citronspring/configuration/plan.py
+++ b/citronspring/configuration/plan.py
@@ -16,17 +16,16 @@
 from citronspring.configuration.difference import (
     account_difference,
     mapping_difference,
-    shortened,
+    truncate_lines,
 )
-from citronspring.configuration.explain import shown
 from citronspring.configuration.models import TemplateModel
 from citronspring.configuration.rendering import (
-    carry_over,
     check_account_id,
+    check_parameters,
     check_references,
     check_zones,
     drain,
-    fill_in,
+    merge_previous_targets,
     purge,
     render,
     undrain,
@@ -37,6 +36,7 @@
     HistoryEntry,
     TemplateEntry,
 )
+from citronspring.configuration.validation_errors import escape
 from citronspring.entities import ChangeRecord
 from citronspring.errors import ConflictError, NotFoundError
 from citronspring.tokens.entries import count_of, epoch_of, ordered_revision
@@ -47,7 +47,7 @@
 
     from citronspring.configuration.catalog import Catalog
     from citronspring.configuration.changes import AnyChange
-    from citronspring.configuration.rendering import Rendered
+    from citronspring.configuration.rendering import RenderedAccount
 
 #: Account id of the record of a change that touched no account.
 NO_ACCOUNT = ""
@@ -63,7 +63,7 @@
     #: Zones the operators listed; empty to allow any.
     zones: frozenset[str]
     #: Entry of each changed account, None where it is deleted.
-    touched: dict[str, AccountEntry | None] = field(default_factory=dict)
+    changed_entries: dict[str, AccountEntry | None] = field(default_factory=dict)
     #: Template that is put, if one is.
     template: TemplateEntry | None = None
     #: One for each revision of the commit.
@@ -96,10 +96,10 @@
         record = ChangeRecord(
             self.next_revision, self.change.change_id, account_id, account
         )
-        self.touched[account_id] = entry
+        self.changed_entries[account_id] = entry
         self.records.append(record)
 
-    def stage_nothing(self) -> None:
+    def stage_empty_record(self) -> None:
         """Add the record of a change that touches no account."""
         record = ChangeRecord(
             self.next_revision, self.change.change_id, NO_ACCOUNT, None
@@ -116,26 +116,26 @@
     other accounts are not looked at yet.
     """
     draft = Draft(catalog, change, now, zones)
-    refuse_other_revision(catalog, change)
+    check_if_revision(catalog, change)
     match change:
         case PutTemplate():
             put_template(draft, change)
         case PutAccount():
             put_account(draft, change)
         case DeleteAccount(account_id=account_id):
-            known_entry(catalog, account_id)
+            require_entry(catalog, account_id)
             draft.stage(account_id, None)
         case DrainTarget(account_id=account_id, target_id=target_id):
-            before = known_entry(catalog, account_id)
+            before = require_entry(catalog, account_id)
             after = drain(before.rendered, target_id, draft.next_revision)
             stage_rendered(draft, account_id, before, after)
         case UndrainTarget(account_id=account_id, target_id=target_id):
-            before = known_entry(catalog, account_id)
+            before = require_entry(catalog, account_id)
             stage_rendered(
                 draft, account_id, before, undrain(before.rendered, target_id)
             )
         case PurgeTarget(account_id=account_id, target_id=target_id):
-            before = known_entry(catalog, account_id)
+            before = require_entry(catalog, account_id)
             stage_rendered(draft, account_id, before, purge(before.rendered, target_id))
     return draft
 
@@ -143,9 +143,9 @@
 def put_account(draft: Draft, change: PutAccount) -> None:
     """Create or replace an account."""
     check_account_id(change.account_id)
-    template = known_template(draft.catalog, change.template).template
+    template = require_template(draft.catalog, change.template).template
     what = f"account {change.account_id}"
-    parameters = fill_in(template, change.parameters, what)
+    parameters = check_parameters(template, change.parameters, what)
     before = draft.catalog.entry(change.account_id)
     stage_definition(draft, change.account_id, before, template, parameters)
 
@@ -158,10 +158,10 @@
         if entry.template != template.name:
             continue
         what = f"account {account_id}"
-        parameters = fill_in(template, entry.parameters, what)
+        parameters = check_parameters(template, entry.parameters, what)
         stage_definition(draft, account_id, entry, template, parameters)
     if not draft.records:
-        draft.stage_nothing()
+        draft.stage_empty_record()
     old = draft.catalog.templates.templates.get(template.name)
     draft.template = next_template(draft, old, template)
 
@@ -182,7 +182,9 @@
     fresh = render(template, account_id, parameters)
     check_zones(fresh, draft.zones)
     rendered_before = before.rendered if before else None
-    rendered = carry_over(rendered_before, fresh, draft.next_revision, draft.now)
+    rendered = merge_previous_targets(
+        rendered_before, fresh, draft.next_revision, draft.now
+    )
     by_template = isinstance(draft.change, PutTemplate)
     if by_template and rendered == rendered_before:
         return
@@ -191,7 +193,7 @@
 
 
 def stage_rendered(
-    draft: Draft, account_id: str, before: AccountEntry, rendered: Rendered
+    draft: Draft, account_id: str, before: AccountEntry, rendered: RenderedAccount
 ) -> None:
     """Stage an account whose targets changed and whose definition did not."""
     stage_entry(draft, account_id, before, replace(before, rendered=rendered))
@@ -229,28 +231,29 @@
         lines = mapping_difference(old.template.model_dump(), template.model_dump())
     change = draft.change
     newest = HistoryEntry(
-        draft.revision, change.change_id, change.author, shortened(lines)
+        draft.revision, change.change_id, change.author, truncate_lines(lines)
     )
     older = old.history if old else ()
     return TemplateEntry(template, (newest, *older[: HISTORY_KEPT - 1]))
 
 
-def known_entry(catalog: Catalog, account_id: str) -> AccountEntry:
+def require_entry(catalog: Catalog, account_id: str) -> AccountEntry:
     """Return an account's entry; raises NotFoundError."""
     entry = catalog.entry(account_id)
     if entry is None:
         raise NotFoundError(
-            f"there is no account {shown(account_id)}", "create it or list the accounts"
+            f"there is no account {escape(account_id)}",
+            "create it or list the accounts",
         )
     return entry
 
 
-def known_template(catalog: Catalog, name: str) -> TemplateEntry:
+def require_template(catalog: Catalog, name: str) -> TemplateEntry:
     """Return a template; raises NotFoundError."""
     entry = catalog.templates.templates.get(name)
     if entry is None:
         raise NotFoundError(
-            f"there is no template {shown(name)}", "create it or list the templates"
+            f"there is no template {escape(name)}", "create it or list the templates"
         )
     return entry
 
@@ -287,7 +290,7 @@
     return history[0].revision if history else 0
 
 
-def last_touched(catalog: Catalog, change: AnyChange) -> int:
+def last_changed_revision(catalog: Catalog, change: AnyChange) -> int:
     """Return the last revision that touched what a change is about, its removal too.
 
     Of an account that does not exist, the current revision is 0 before it was made
@@ -299,15 +302,15 @@
     return gone.revision if gone is not None else revision
 
 
-def refuse_other_revision(catalog: Catalog, change: AnyChange) -> None:
+def check_if_revision(catalog: Catalog, change: AnyChange) -> None:
     """Raise ConflictError when the operator had seen another revision."""
     if change.if_revision is None:
         return
     if current_revision(catalog, change) != change.if_revision:
-        raise conflict(catalog, change)
+        raise conflict_error(catalog, change)
 
 
-def conflict(catalog: Catalog, change: AnyChange) -> ConflictError:
+def conflict_error(catalog: Catalog, change: AnyChange) -> ConflictError:
     """Make the error that shows the other operator's change."""
     subject = subject_of(change)
     history = current_history(catalog, change)
@@ -316,7 +319,7 @@
         other = history[0]
         text = "; ".join(other.difference) or "nothing differs"
         return ConflictError(
-            f"{shown(subject)} was changed by {other.author} at revision "
+            f"{escape(subject)} was changed by {other.author} at revision "
             f"{other.revision} (change {other.change_id}): {text}",
             remedy,
             change_id=other.change_id,
@@ -325,9 +328,9 @@
         )
     gone = catalog.head.last_change_of(subject)
     if gone is None:
-        return ConflictError(f"{shown(subject)} does not exist", remedy)
+        return ConflictError(f"{escape(subject)} does not exist", remedy)
     return ConflictError(
-        f"{shown(subject)} was deleted by {gone.author} at revision {gone.revision} "
+        f"{escape(subject)} was deleted by {gone.author} at revision {gone.revision} "
         f"(change {gone.change_id})",
         remedy,
         change_id=gone.change_id,
--- a/citronspring/configuration/prepare.py
+++ b/citronspring/configuration/prepare.py
@@ -31,12 +31,12 @@
     from collections.abc import Iterable, Mapping
 
     from citronspring.configuration.plan import Draft
-    from citronspring.configuration.shards import AccountEntry, Release
+    from citronspring.configuration.shards import AccountEntry, AddressRelease
     from citronspring.entities import ChangeRecord
 
 
 @dataclass(frozen=True, slots=True)
-class Prepared:
+class PreparedCommit:
     """The values of one commit."""
 
     #: The catalog as it will be; its version is that of the head before.
@@ -45,12 +45,12 @@
     values: dict[str, bytes]
     head_value: bytes
     #: Digests that no head within reach names any more.
-    dropped: tuple[str, ...]
+    expired_digests: tuple[str, ...]
 
 
 def prepare(
     draft: Draft, orphans: Iterable[str], confirmed: Mapping[str, int]
-) -> Prepared:
+) -> PreparedCommit:
     """Return the values of a commit.
 
     Parameters
@@ -89,7 +89,7 @@
     )
     after = Catalog(catalog.version, head, tuple(shards), templates)
     dropped = tuple(retired[:-RETIRED_KEPT])
-    return Prepared(after, values, encode_checked(HEAD, head), dropped)
+    return PreparedCommit(after, values, encode_checked(HEAD, head), dropped)
 
 
 def changed_shards(
@@ -98,7 +98,7 @@
     """Return the shards of the changed accounts, by number."""
     catalog = draft.catalog
     accounts: dict[int, dict[str, AccountEntry]] = {}
-    for account_id, entry in draft.touched.items():
+    for account_id, entry in draft.changed_entries.items():
         index = shard_of(account_id, len(catalog.shards))
         changed = accounts.setdefault(index, dict(catalog.shards[index].accounts))
         changed.pop(account_id, None)
@@ -113,11 +113,11 @@
 
 def changed_releases(
     draft: Draft, indexes: Iterable[int], confirmed: Mapping[str, int]
-) -> dict[int, tuple[Release, ...]]:
+) -> dict[int, tuple[AddressRelease, ...]]:
     """Return the releases of the shards that are written."""
     catalog = draft.catalog
     revisions = {record.account_id: record.revision for record in draft.records}
-    fresh = new_releases(catalog, draft.touched, revisions)
+    fresh = new_releases(catalog, draft.changed_entries, revisions)
     confirmed_by_all = min(confirmed.values(), default=0)
     releases = {}
     for index in indexes:
--- a/citronspring/configuration/reader.py
+++ b/citronspring/configuration/reader.py
@@ -53,13 +53,13 @@
     #: Shards read for a catalog that is not whole yet, by digest. An attempt that ran
     #: out of time began anew for ever where 128 reads take longer than it has; a
     #: shard never changes under its digest, so that the next one can go on.
-    unfinished: dict[str, Shard] = field(default_factory=dict)
+    partial_shards: dict[str, Shard] = field(default_factory=dict)
 
     async def refresh(self) -> Head:
         """Read the head and return the newest one known."""
         stored = await self.platform.get(HEAD_KEY)
         if stored is not None:
-            self.adopt(stored)
+            self.update_head(stored)
         return self.head
 
     async def refresh_past(self, version: int) -> None:
@@ -71,26 +71,26 @@
             await self.refresh()
             if self.version > version:
                 return
-        raise stale()
+        raise stale_platform_error()
 
     async def watch(self, after_revision: int) -> int:
         """Wait for a head above a revision and return its revision."""
         while self.head.revision <= after_revision:
             stored = await self.platform.watch(HEAD_KEY, self.version)
             if stored.version <= self.version:
-                raise stale()
-            self.adopt(stored)
+                raise stale_platform_error()
+            self.update_head(stored)
         return self.head.revision
 
-    def adopt(self, stored: StoredValue) -> None:
+    def update_head(self, stored: StoredValue) -> None:
         """Make a stored head the known one, if it is newer."""
         if stored.version <= self.version:
             return
         head = decode(HEAD, stored.value)
         if epoch_of(stored.version) > epoch_of(self.version):
-            lost = lost_changes(self.head, head)
+            lost = missing_changes(self.head, head)
             if lost:
-                raise changes_lost(lost)
+                raise changes_lost_error(lost)
         elif head.revision < self.head.revision:
             raise StoredValueError(
                 f"the platform's head went from revision {self.head.revision} back "
@@ -100,11 +100,11 @@
         self.version, self.head = stored.version, head
 
     @property
-    def holds_everything(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether all that the known head names is in memory."""
         return self.version > ABSENT and self.catalog.version == self.version
 
-    def adopt_catalog(self, catalog: Catalog) -> None:
+    def update_catalog(self, catalog: Catalog) -> None:
         """Make a catalog the known one, if it is newer."""
         if catalog.version > self.version:
             self.version, self.head = catalog.version, catalog.head
@@ -126,10 +126,10 @@
             catalog = await self.read_shards(self.version, self.head)
             if catalog is not None:
                 if keep:
-                    self.adopt_catalog(catalog)
+                    self.update_catalog(catalog)
                 return catalog
             await self.refresh()
-        raise stale()
+        raise stale_platform_error()
 
     async def read_shards(self, version: int, head: Head) -> Catalog | None:
         """Return the catalog of one head; None when a shard is gone."""
@@ -137,10 +137,10 @@
         if known.version == version:
             return known
         have = dict(zip(known.head.shards, known.shards, strict=True))
-        have.update(self.unfinished)
+        have.update(self.partial_shards)
         # A name of its own: two reads may be under way, and one of them ends first.
         found = {digest: have[digest] for digest in head.shards if digest in have}
-        self.unfinished = found
+        self.partial_shards = found
         for digest in head.shards:
             if digest in found:
                 continue
@@ -154,7 +154,7 @@
             templates = await self.read_value(TEMPLATES, head.templates, Templates())
         if templates is None:
             return None
-        self.unfinished = {}
+        self.partial_shards = {}
         return Catalog(version, head, tuple(shards), templates)
 
     async def read_value(
@@ -174,7 +174,7 @@
         return decode(adapter, stored.value)
 
 
-def lost_changes(known: Head, head: Head) -> list[str]:
+def missing_changes(known: Head, head: Head) -> list[str]:
     """Return the ids of changes of a known head that another one lacks.
 
     Its revision does not tell: a platform that has come back from an older copy
@@ -188,7 +188,7 @@
     ]
 
 
-def changes_lost(lost: list[str]) -> ChangesLostError:
+def changes_lost_error(lost: list[str]) -> ChangesLostError:
     """Make the error of a platform that lacks accepted changes."""
     return ChangesLostError(
         "the platform has come back from an older copy, without the accepted "
@@ -198,7 +198,7 @@
     )
 
 
-def stale() -> PlatformUnavailableError:
+def stale_platform_error() -> PlatformUnavailableError:
     """Make the error of a platform that answers with old values only."""
     return PlatformUnavailableError(
         "the platform answers with old values only", "try again in a moment"
--- a/citronspring/configuration/rendering.py
+++ b/citronspring/configuration/rendering.py
@@ -8,8 +8,12 @@
 
 from pydantic import JsonValue, TypeAdapter, ValidationError
 
-from citronspring.configuration.explain import explained, remedy_of_unknown, shown
 from citronspring.configuration.models import AccountModel, Name, TargetModel
+from citronspring.configuration.validation_errors import (
+    configuration_error,
+    escape,
+    remedy_of_unknown,
+)
 from citronspring.entities import Account, Endpoint, Target
 from citronspring.errors import ConfigurationError, NotFoundError
 
@@ -28,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rendered:
+class RenderedAccount:
     """An account and until when its removed targets stay listed."""
 
     account: Account
@@ -41,10 +45,10 @@
     try:
         NAME.validate_python(account_id)
     except ValidationError as error:
-        raise explained(error, "account id") from error
+        raise configuration_error(error, "account id") from error
 
 
-def fill_in(
+def check_parameters(
     template: TemplateModel, parameters: Mapping[str, Any], what: str
 ) -> dict[str, Any]:
     """Check an account's parameters and return them in JSON form.
@@ -54,16 +58,16 @@
     unknown = sorted(set(parameters) - set(template.parameters))
     if unknown:
         raise ConfigurationError(
-            f"{what}: template {template.name} has no parameter {shown(unknown[0])}",
+            f"{what}: template {template.name} has no parameter {escape(unknown[0])}",
             remedy_of_unknown(unknown[0], list(template.parameters)),
         )
     return {
-        name: fill_in_one(template, name, value, what)
+        name: check_parameter(template, name, value, what)
         for name, value in parameters.items()
     }
 
 
-def fill_in_one(template: TemplateModel, name: str, value: Any, what: str) -> Any:
+def check_parameter(template: TemplateModel, name: str, value: Any, what: str) -> Any:
     """Check one parameter and return it in JSON form."""
     parameter = template.parameters[name]
     try:
@@ -79,8 +83,8 @@
     for name in sorted(references_in(template.body.model_dump())):
         if name not in template.parameters:
             raise ConfigurationError(
-                f"template {template.name}: body uses {{{shown(name)}}}",
-                f"declare the parameter {shown(name)}",
+                f"template {template.name}: body uses {{{escape(name)}}}",
+                f"declare the parameter {escape(name)}",
             )
 
 
@@ -118,7 +122,7 @@
     Raises ConfigurationError naming the account, key and value.
     """
     what = f"account {account_id}"
-    values = all_values(template, parameters, what)
+    values = parameters_with_defaults(template, parameters, what)
     raw = substitute(template.body.model_dump(), values)
     defaults = raw.pop("target_defaults")
     if isinstance(raw["targets"], list):
@@ -126,13 +130,13 @@
     try:
         model = AccountModel.model_validate(raw)
     except ValidationError as error:
-        raise explained(error, what, TargetModel) from error
+        raise configuration_error(error, what, TargetModel) from error
     account = to_account(account_id, model)
     check_unique(account, what)
     return account
 
 
-def all_values(
+def parameters_with_defaults(
     template: TemplateModel, parameters: Mapping[str, Any], what: str
 ) -> dict[str, Any]:
     """Return the parameters with the template's defaults filled in."""
@@ -175,13 +179,13 @@
 
 def check_unique(account: Account, what: str) -> None:
     """Raise ConfigurationError when an account lists one thing twice."""
-    refuse_repeats(account.addresses, f"{what}: service address")
-    refuse_repeats((t.target_id for t in account.targets), f"{what}: target")
-    refuse_repeats((t.tunnel.ip for t in account.targets), f"{what}: tunnel")
-    refuse_repeats(account.zones, f"{what}: zone")
+    refuse_duplicates(account.addresses, f"{what}: service address")
+    refuse_duplicates((t.target_id for t in account.targets), f"{what}: target")
+    refuse_duplicates((t.tunnel.ip for t in account.targets), f"{what}: tunnel")
+    refuse_duplicates(account.zones, f"{what}: zone")
 
 
-def refuse_repeats(values: Iterable[Hashable], what: str) -> None:
+def refuse_duplicates(values: Iterable[Hashable], what: str) -> None:
     """Raise ConfigurationError when a value comes twice."""
     seen = set()
     for value in values:
@@ -208,9 +212,9 @@
             )
 
 
-def carry_over(
-    before: Rendered | None, fresh: Account, revision: int, now: float
-) -> Rendered:
+def merge_previous_targets(
+    before: RenderedAccount | None, fresh: Account, revision: int, now: float
+) -> RenderedAccount:
     """Merge a fresh account with what its targets were.
 
     The revisions of a target decide where its flows may live, on every host: a
@@ -227,11 +231,11 @@
     now : float
         Time from which the retention of removed targets runs.
     """
-    before = before or Rendered(Account(fresh.account_id), {})
+    before = before or RenderedAccount(Account(fresh.account_id), {})
     old = {target.target_id: target for target in before.account.targets}
     new_ids = {target.target_id for target in fresh.targets}
     targets = [
-        carry_target(old.get(target.target_id), target, before, revision)
+        merge_target(old.get(target.target_id), target, before, revision)
         for target in fresh.targets
     ]
     retain_until = {}
@@ -239,15 +243,15 @@
         deadline = before.retain_until.get(target_id, now + RETENTION_SECONDS)
         if target_id in new_ids or deadline <= now:
             continue
-        targets.append(leave(target, revision))
+        targets.append(mark_leaving(target, revision))
         retain_until[target_id] = deadline
     account = replace(fresh, targets=tuple(sorted(targets, key=target_order)))
     check_unique(account, f"account {fresh.account_id}, leaving targets included")
-    return Rendered(account, retain_until)
+    return RenderedAccount(account, retain_until)
 
 
-def carry_target(
-    old: Target | None, fresh: Target, before: Rendered, revision: int
+def merge_target(
+    old: Target | None, fresh: Target, before: RenderedAccount, revision: int
 ) -> Target:
     """Return a listed target with the revisions it had."""
     if old is None:
@@ -265,18 +269,18 @@
     )
 
 
-def leave(target: Target, revision: int) -> Target:
+def mark_leaving(target: Target, revision: int) -> Target:
     """Return a target that takes no new flows from ``revision`` on."""
     return target if target.leaving else replace(target, leaving_revision=revision)
 
 
-def drain(before: Rendered, target_id: str, revision: int) -> Rendered:
+def drain(before: RenderedAccount, target_id: str, revision: int) -> RenderedAccount:
     """Let a target leave; raises NotFoundError when there is none."""
     target = find_target(before, target_id)
-    return replace_target(before, leave(target, revision))
+    return replace_target(before, mark_leaving(target, revision))
 
 
-def undrain(before: Rendered, target_id: str) -> Rendered:
+def undrain(before: RenderedAccount, target_id: str) -> RenderedAccount:
     """Let a drained target take new flows again."""
     target = find_target(before, target_id)
     if target_id in before.retain_until:
@@ -288,7 +292,7 @@
     return replace_target(before, replace(target, leaving_revision=None))
 
 
-def purge(before: Rendered, target_id: str) -> Rendered:
+def purge(before: RenderedAccount, target_id: str) -> RenderedAccount:
     """Forget a target that was removed from the parameters."""
     target = find_target(before, target_id)
     if target_id not in before.retain_until:
@@ -298,21 +302,21 @@
         )
     kept = tuple(t for t in before.account.targets if t.target_id != target_id)
     retain_until = {k: v for k, v in before.retain_until.items() if k != target_id}
-    return Rendered(replace(before.account, targets=kept), retain_until)
+    return RenderedAccount(replace(before.account, targets=kept), retain_until)
 
 
-def find_target(rendered: Rendered, target_id: str) -> Target:
+def find_target(rendered: RenderedAccount, target_id: str) -> Target:
     """Return a target; raises NotFoundError when there is none."""
     for target in rendered.account.targets:
         if target.target_id == target_id:
             return target
     raise NotFoundError(
-        f"account {rendered.account.account_id} has no target {shown(target_id)}",
+        f"account {rendered.account.account_id} has no target {escape(target_id)}",
         "list the account's targets",
     )
 
 
-def replace_target(rendered: Rendered, target: Target) -> Rendered:
+def replace_target(rendered: RenderedAccount, target: Target) -> RenderedAccount:
     """Return an account with one target replaced."""
     targets = tuple(
         target if old.target_id == target.target_id else old
--- a/citronspring/configuration/shards.py
+++ b/citronspring/configuration/shards.py
@@ -13,7 +13,7 @@
 
 from citronspring.configuration.addresses import addresses_of
 from citronspring.configuration.models import TemplateModel
-from citronspring.configuration.rendering import Rendered
+from citronspring.configuration.rendering import RenderedAccount
 from citronspring.entities import ChangeRecord
 from citronspring.errors import ConfigurationError, StoredValueError
 from citronspring.key_value.port import MAX_VALUE_BYTES
@@ -38,7 +38,7 @@
 HISTORY_KEPT = 10
 
 #: Most bytes of a value's JSON before compression.
-TEXT_BYTES = 8_000_000
+MAX_JSON_BYTES = 8_000_000
 
 #: Bytes of a shard's digest.
 DIGEST_BYTES = 16
@@ -63,7 +63,7 @@
 
     template: str
     parameters: dict[str, Any]
-    rendered: Rendered
+    rendered: RenderedAccount
     #: Newest first, never empty.
     history: tuple[HistoryEntry, ...]
 
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Release:
+class AddressRelease:
     """An address that left an account, and when."""
 
     #: See :func:`citronspring.configuration.addresses.addresses_of`.
@@ -91,10 +91,10 @@
     #: the same bytes, so a digest that was retired never comes into use again.
     written_by: str = ""
     accounts: dict[str, AccountEntry] = field(default_factory=dict)
-    releases: tuple[Release, ...] = ()
+    releases: tuple[AddressRelease, ...] = ()
 
     @cached_property
-    def holders(self) -> dict[str, str]:
+    def accounts_by_address(self) -> dict[str, str]:
         """Account id by address; built once, as most shards outlive a commit."""
         return {
             address: account_id
@@ -186,10 +186,10 @@
     """Return the bytes of a value as the platform keeps them."""
     text = adapter.dump_json(value, exclude_defaults=True)
     encoded = zlib.compress(text)
-    if len(encoded) > MAX_VALUE_BYTES or len(text) > TEXT_BYTES:
+    if len(encoded) > MAX_VALUE_BYTES or len(text) > MAX_JSON_BYTES:
         raise ConfigurationError(
             f"a stored value would have {len(encoded)} bytes of {MAX_VALUE_BYTES}, "
-            f"{len(text)} bytes unpacked of {TEXT_BYTES}",
+            f"{len(text)} bytes unpacked of {MAX_JSON_BYTES}",
             "use smaller accounts or templates",
         )
     return encoded
--- a/citronspring/configuration/store.py
+++ b/citronspring/configuration/store.py
@@ -9,27 +9,31 @@
 import anyio.to_thread
 
 from citronspring.configuration.changes import (
+    change_id_revision,
     check_change,
     make_change_id,
-    revision_seen,
 )
 from citronspring.configuration.moves import (
+    blocking_releases,
+    newly_taken_addresses,
     refuse_unconfirmed,
     refuse_used,
-    releases_in_the_way,
-    taken_by,
 )
 from citronspring.configuration.plan import (
-    conflict,
-    known_entry,
-    known_template,
-    last_touched,
+    conflict_error,
+    last_changed_revision,
     plan,
+    require_entry,
+    require_template,
 )
 from citronspring.configuration.prepare import prepare
 from citronspring.configuration.reader import CatalogReader
 from citronspring.configuration.shards import HEAD_KEY, shard_key, shard_of
-from citronspring.configuration.writing import WRITE_ATTEMPTS, write_again, write_shard
+from citronspring.configuration.writing import (
+    WRITE_ATTEMPTS,
+    restore_lost_changes,
+    write_shard,
+)
 from citronspring.configuration.zones import ZoneConfirmations
 from citronspring.errors import (
     ChangesLostError,
@@ -47,12 +51,12 @@
     from citronspring.configuration.catalog import Catalog
     from citronspring.configuration.changes import AnyChange
     from citronspring.configuration.plan import Draft
-    from citronspring.configuration.prepare import Prepared
-    from citronspring.configuration.running import Runner
+    from citronspring.configuration.prepare import PreparedCommit
+    from citronspring.configuration.runner import Runner
     from citronspring.configuration.shards import (
         AccountEntry,
+        AddressRelease,
         Head,
-        Release,
         TemplateEntry,
     )
     from citronspring.entities import ChangeRecord, Snapshot
@@ -63,7 +67,7 @@
 
 #: Seconds in which a process notices that its changes are lost, and writes them again:
 #: hosts read at once when they lose their watch, and after 8 s at the latest.
-REWRITE_TIME = 10.0
+RESTORE_GRACE_SECONDS = 10.0
 
 #: Releases in a shard above which a commit looks for confirmed ones.
 RELEASES_KEPT = 64
@@ -82,7 +86,7 @@
     """What one commit remembers from one head to the next."""
 
     #: Revision that last touched the account or template when the commit started.
-    started_from: int
+    start_revision: int
     #: Digests written for heads that never came.
     orphans: list[str] = field(default_factory=list)
 
@@ -100,7 +104,7 @@
     #: of accounts would hold up every packet for seconds.
     run: Runner
     #: Until when others may write again, by epoch of the platform.
-    rewrite_deadlines: dict[int, float] = field(default_factory=dict)
+    restore_grace_deadlines: dict[int, float] = field(default_factory=dict)
 
     @classmethod
     def from_platform(
@@ -162,24 +166,24 @@
             await self.refresh()
             catalog = await self.reader.read_catalog()
         except PlatformUnavailableError as error:
-            raise not_accepted(error) from error
-        attempt = Attempt(last_touched(catalog, change))
+            raise not_accepted_error(error) from error
+        attempt = Attempt(last_changed_revision(catalog, change))
         committed = self.find_committed(catalog.head, change)
         if committed is not None:
             return committed
-        self.await_rewrites(catalog, now)
+        self.refuse_during_restore_grace(catalog, now)
         for _ in range(REBASE_ATTEMPTS):
-            if last_touched(catalog, change) != attempt.started_from:
-                raise conflict(catalog, change)
+            if last_changed_revision(catalog, change) != attempt.start_revision:
+                raise conflict_error(catalog, change)
             prepared = await self.prepare(catalog, change, attempt, now)
             if await self.swap_head(prepared, change):
-                await self.delete_dropped(prepared)
+                await self.delete_expired_shards(prepared)
                 return Committed(prepared.catalog.head.revision)
             committed = self.find_committed(self.reader.head, change)
             if committed is not None:
                 return committed
             catalog = await self.next_catalog()
-        raise not_accepted("other operators commit all the time")
+        raise not_accepted_error("other operators commit all the time")
 
     async def refresh(self) -> Head:
         """Read the head; write again what a platform that came back has lost.
@@ -189,11 +193,11 @@
         try:
             return await self.reader.refresh()
         except ChangesLostError:
-            if not await write_again(self.reader):
+            if not await restore_lost_changes(self.reader):
                 raise
         return self.reader.head
 
-    def await_rewrites(self, catalog: Catalog, now: float) -> None:
+    def refuse_during_restore_grace(self, catalog: Catalog, now: float) -> None:
         """Refuse a commit while others may write again what the platform has lost.
 
         After a commit on the older copy that came back they could not, since histories
@@ -202,9 +206,11 @@
         epoch = epoch_of(catalog.version)
         if catalog.head.epoch == epoch:
             return
-        deadline = self.rewrite_deadlines.setdefault(epoch, now + REWRITE_TIME)
+        deadline = self.restore_grace_deadlines.setdefault(
+            epoch, now + RESTORE_GRACE_SECONDS
+        )
         if now < deadline:
-            raise not_accepted(
+            raise not_accepted_error(
                 "the platform has come back from an older copy, and accepted changes "
                 f"may be written again for {deadline - now:.0f} s"
             )
@@ -219,9 +225,11 @@
         known = head.find_change(change.change_id)
         if known is not None:
             return Committed(known.revision)
-        seen = revision_seen(change.change_id)
+        seen = change_id_revision(change.change_id)
         if seen > head.revision:
-            raise not_accepted(f"revision {seen} of the change id is not known here")
+            raise not_accepted_error(
+                f"revision {seen} of the change id is not known here"
+            )
         if seen < head.changes_floor:
             raise OutcomeUnknownError(
                 f"change {change.change_id} was made at revision {seen}; changes up "
@@ -232,7 +240,7 @@
 
     async def prepare(
         self, catalog: Catalog, change: AnyChange, attempt: Attempt, now: float
-    ) -> Prepared:
+    ) -> PreparedCommit:
         """Check a change against a catalog and write its shards."""
         draft = await self.run(plan, catalog, change, self.zones, now)
         try:
@@ -243,7 +251,7 @@
                 await write_shard(self.platform, digest, value)
                 attempt.orphans.append(digest)
         except PlatformUnavailableError as error:
-            raise not_accepted(error) from error
+            raise not_accepted_error(error) from error
         return prepared
 
     async def check_moves(self, draft: Draft) -> dict[str, int]:
@@ -252,15 +260,15 @@
         They are read only when an address that the draft takes left another
         account before.
         """
-        in_the_way = await self.run(find_releases, draft)
-        if not in_the_way and not crowded(draft):
+        in_the_way = await self.run(find_blocking_releases, draft)
+        if not in_the_way and not has_many_releases(draft):
             return {}
         zones = self.zones | zones_of(draft.catalog)
         confirmed = await self.confirmations.read(zones)
         refuse_unconfirmed(in_the_way, confirmed)
         return confirmed
 
-    async def swap_head(self, prepared: Prepared, change: AnyChange) -> bool:
+    async def swap_head(self, prepared: PreparedCommit, change: AnyChange) -> bool:
         """Compare-and-swap the head; False when another one is there.
 
         A lost answer leaves two cases, so the same swap is sent again. If the
@@ -274,37 +282,39 @@
             try:
                 version = await self.platform.put(HEAD_KEY, prepared.head_value, base)
             except VersionMismatchError:
-                await self.read_winner(base, change, uncertain)
+                await self.read_replacing_head(base, change, uncertain)
                 return False
             except OutcomeUnknownError:
                 uncertain = True
             except PlatformUnavailableError as error:
                 if not uncertain:
-                    raise not_accepted(error) from error
+                    raise not_accepted_error(error) from error
             else:
-                self.reader.adopt_catalog(replace(prepared.catalog, version=version))
+                self.reader.update_catalog(replace(prepared.catalog, version=version))
                 return True
-        raise outcome_unknown(change)
+        raise outcome_unknown_error(change)
 
-    async def read_winner(self, base: int, change: AnyChange, uncertain: bool) -> None:
+    async def read_replacing_head(
+        self, base: int, change: AnyChange, uncertain: bool
+    ) -> None:
         """Read the head that replaced ``base``, this commit's own perhaps."""
         try:
             await self.reader.refresh_past(base)
         except CitronspringError as error:
             if uncertain:
-                raise outcome_unknown(change) from error
-            raise not_accepted(error) from error
+                raise outcome_unknown_error(change) from error
+            raise not_accepted_error(error) from error
 
     async def next_catalog(self) -> Catalog:
         """Read the catalog of the head that won."""
         try:
             return await self.reader.read_catalog()
         except PlatformUnavailableError as error:
-            raise not_accepted(error) from error
+            raise not_accepted_error(error) from error
 
-    async def delete_dropped(self, prepared: Prepared) -> None:
+    async def delete_expired_shards(self, prepared: PreparedCommit) -> None:
         """Delete shards out of reach; left behind, they only take up room."""
-        for digest in prepared.dropped:
+        for digest in prepared.expired_digests:
             try:
                 await self.platform.delete(shard_key(digest))
             except (OutcomeUnknownError, PlatformUnavailableError):
@@ -343,11 +353,11 @@
 
     async def read_account(self, account_id: str) -> AccountEntry:
         """Read one account with its history; raises NotFoundError."""
-        return known_entry(await self.read_catalog(), account_id)
+        return require_entry(await self.read_catalog(), account_id)
 
     async def read_template(self, name: str) -> TemplateEntry:
         """Read one template with its history; raises NotFoundError."""
-        return known_template(await self.read_catalog(), name)
+        return require_template(await self.read_catalog(), name)
 
     async def confirm_zone(self, zone: str, revision: int) -> int:
         """Tell that all hosts of a zone are at ``revision`` or above.
@@ -357,21 +367,23 @@
         return await self.confirmations.confirm(zone, revision)
 
 
-def find_releases(draft: Draft) -> list[Release]:
+def find_blocking_releases(draft: Draft) -> list[AddressRelease]:
     """Return the releases of addresses that a draft takes, if no account has them.
 
     Raises MoveRefusedError when another account has one.
     """
     catalog = draft.catalog
-    taken = taken_by(catalog, draft.touched)
-    refuse_used(catalog, draft.touched, taken)
-    return releases_in_the_way(taken, catalog.releases())
+    taken = newly_taken_addresses(catalog, draft.changed_entries)
+    refuse_used(catalog, draft.changed_entries, taken)
+    return blocking_releases(taken, catalog.releases())
 
 
-def crowded(draft: Draft) -> bool:
+def has_many_releases(draft: Draft) -> bool:
     """Whether a shard to be written should forget confirmed releases."""
     shards = draft.catalog.shards
-    indexes = {shard_of(account_id, len(shards)) for account_id in draft.touched}
+    indexes = {
+        shard_of(account_id, len(shards)) for account_id in draft.changed_entries
+    }
     return any(len(shards[index].releases) > RELEASES_KEPT for index in indexes)
 
 
@@ -383,7 +395,7 @@
     return frozenset(zones)
 
 
-def not_accepted(cause: object) -> PlatformUnavailableError:
+def not_accepted_error(cause: object) -> PlatformUnavailableError:
     """Make the error of a change that this call did not put in force."""
     return PlatformUnavailableError(
         f"not accepted, this call changed nothing: {cause}",
@@ -391,7 +403,7 @@
     )
 
 
-def outcome_unknown(change: AnyChange) -> OutcomeUnknownError:
+def outcome_unknown_error(change: AnyChange) -> OutcomeUnknownError:
     """Make the error of a change that may be in force."""
     return OutcomeUnknownError(
         f"no answer tells whether change {change.change_id} was committed",
--- a/citronspring/configuration/explain.py
+++ b/citronspring/configuration/validation_errors.py
@@ -12,10 +12,10 @@
     from pydantic_core import ErrorDetails
 
 #: Longest piece of an operator's value that a message shows.
-SHOWN_LENGTH = 80
+MAX_PRINTED_LENGTH = 80
 
 
-def explained(
+def configuration_error(
     error: ValidationError, what: str, model: type[BaseModel] | None = None
 ) -> ConfigurationError:
     """Make an error of the first thing that is wrong.
@@ -29,26 +29,26 @@
     model : type of BaseModel, optional
         Its fields are proposed in place of an unknown key.
     """
-    first = findings_of(error)[0]
-    message = f"{what}: {first_finding(error)}"
+    first = sorted_errors(error)[0]
+    message = f"{what}: {first_error_text(error)}"
     return ConfigurationError(message, remedy_of(first, model))
 
 
-def first_finding(error: ValidationError) -> str:
+def first_error_text(error: ValidationError) -> str:
     """Return key, complaint and value of the first thing that is wrong."""
-    found = findings_of(error)
+    found = sorted_errors(error)
     first = found[0]
     complaint = first["msg"].removeprefix("Value error, ")
-    text = f"{complaint}, got {shown(first['input'])}"
+    text = f"{complaint}, got {escape(first['input'])}"
     if first["loc"]:
         key = ".".join(str(part) for part in first["loc"])
-        text = f"{shown(key)}: {text}"
+        text = f"{escape(key)}: {text}"
     if len(found) > 1:
         text = f"{text} (and {len(found) - 1} more)"
     return text
 
 
-def findings_of(error: ValidationError) -> list[ErrorDetails]:
+def sorted_errors(error: ValidationError) -> list[ErrorDetails]:
     """Return the findings, unknown keys first: they explain missing ones."""
     found = error.errors(include_url=False)
     return sorted(found, key=lambda finding: finding["type"] != "extra_forbidden")
@@ -63,7 +63,7 @@
         case "missing":
             return f"add {key}"
         case _:
-            return f"correct {shown(key) if key else 'it'}"
+            return f"correct {escape(key) if key else 'it'}"
 
 
 def remedy_of_unknown(key: str, known: list[str]) -> str:
@@ -71,19 +71,19 @@
     close = get_close_matches(key, known, n=1)
     if close:
         return f"did you mean {close[0]}?"
-    return f"remove {shown(key)}"
+    return f"remove {escape(key)}"
 
 
-def shown(value: object) -> str:
+def escape(value: object) -> str:
     """Return a short printable form of a value."""
-    text = value if isinstance(value, str) else printed(value)
+    text = value if isinstance(value, str) else bounded_repr(value)
     printable = text.encode("unicode_escape").decode("ascii")
-    if len(printable) <= SHOWN_LENGTH:
+    if len(printable) <= MAX_PRINTED_LENGTH:
         return printable
-    return f"{printable[:SHOWN_LENGTH]}..."
+    return f"{printable[:MAX_PRINTED_LENGTH]}..."
 
 
-def printed(value: object) -> str:
+def bounded_repr(value: object) -> str:
     """Return a value as Python writes it, or its type when it is too large."""
     try:
         return repr(value)
--- a/citronspring/configuration/writing.py
+++ b/citronspring/configuration/writing.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from citronspring.configuration.reader import lost_changes
+from citronspring.configuration.reader import missing_changes
 from citronspring.configuration.shards import (
     HEAD,
     HEAD_KEY,
@@ -47,18 +47,18 @@
     raise PlatformUnavailableError("no answer to the write of a shard")
 
 
-async def write_again(reader: CatalogReader) -> bool:
+async def restore_lost_changes(reader: CatalogReader) -> bool:
     """Put the known catalog in the place of the older one that it was made from.
 
     Returns False, with nothing written, where not all of it is known here, or where
     others have changed the older one since.
     """
-    if not reader.holds_everything:
+    if not reader.is_complete:
         return False
     catalog, platform = reader.catalog, reader.platform
     stored = await platform.get(HEAD_KEY)
     head = decode(HEAD, stored.value) if stored else Head()
-    if lost_changes(head, catalog.head):
+    if missing_changes(head, catalog.head):
         return False
     for digest, value in missing_values(catalog, head).items():
         await write_shard(platform, digest, value)
@@ -70,7 +70,7 @@
             f"accepted changes are not written again yet: {error}",
             "try again in a moment",
         ) from error
-    reader.adopt_catalog(replace(catalog, version=version))
+    reader.update_catalog(replace(catalog, version=version))
     log(CHANGES_WRITTEN_AGAIN, revision=catalog.head.revision, before=head.revision)
     return True
 
--- a/citronspring/control/budget.py
+++ b/citronspring/control/budget.py
@@ -37,55 +37,55 @@
 IP_UDP_HEADERS = 28
 
 #: Datagrams that may wait.
-MAX_WAITING = 128
+MAX_QUEUED = 128
 
 #: Seconds after which a datagram that waits is stale and dropped.
-WAIT_TIME = 2.0
+MAX_QUEUE_SECONDS = 2.0
 
 
-class Urgency(IntEnum):
+class Priority(IntEnum):
     """Classes of messages, the most urgent first."""
 
     #: Pings, with leaving, suspicion and the revision on them: small, and a host
     #: that can't answer them is held dead.
     HEARTBEAT = 0
     #: Change records, and questions for what is missing.
-    REVISION = 1
+    CONFIGURATION = 1
     #: News of hosts beside that on pings. When many hosts come and go at once
     #: it must not keep pings back, or it would make ever more news.
-    NEWS = 2
+    MEMBERSHIP = 2
     LOAD = 3
     #: Copies of the configuration and of the list of members; metered apart.
     BULK = 4
 
 
 #: Seconds of the budget that each class may be ahead.
-BORROWED = {
-    Urgency.HEARTBEAT: 2.0,
-    Urgency.REVISION: 1.5,
-    Urgency.NEWS: 1.25,
-    Urgency.LOAD: 0.5,
-    Urgency.BULK: 0.5,
+BURST_SECONDS = {
+    Priority.HEARTBEAT: 2.0,
+    Priority.CONFIGURATION: 1.5,
+    Priority.MEMBERSHIP: 1.25,
+    Priority.LOAD: 0.5,
+    Priority.BULK: 0.5,
 }
 
 
-def urgency_of(message: ControlMessage) -> Urgency:
+def priority_of(message: ControlMessage) -> Priority:
     """Return the class of a message."""
     match message:
         case Ping() | Ack() | PingRequest():
-            return Urgency.HEARTBEAT
+            return Priority.HEARTBEAT
         case Gossip():
-            return Urgency.NEWS
+            return Priority.MEMBERSHIP
         case Loads():
-            return Urgency.LOAD
+            return Priority.LOAD
         case SnapshotPart() | Members():
-            return Urgency.BULK
+            return Priority.BULK
         case _:
-            return Urgency.REVISION
+            return Priority.CONFIGURATION
 
 
 @dataclass(slots=True)
-class Waiting(Generic[Item]):
+class QueuedDatagram(Generic[Item]):
     """A datagram that waits for the budget."""
 
     item: Item
@@ -99,49 +99,51 @@
     """Decides when datagrams go out."""
 
     #: Times at which what went out so far is paid off.
-    paid_at: float = 0.0
-    bulk_paid_at: float = 0.0
-    waiting: dict[Urgency, deque[Waiting[Item]]] = field(
-        default_factory=lambda: {urgency: deque() for urgency in Urgency}
+    budget_used_until: float = 0.0
+    bulk_budget_used_until: float = 0.0
+    queues: dict[Priority, deque[QueuedDatagram[Item]]] = field(
+        default_factory=lambda: {priority: deque() for priority in Priority}
     )
     #: Datagrams that were given up.
     dropped: int = 0
 
     def count(self) -> int:
         """Return how many datagrams wait."""
-        return sum(map(len, self.waiting.values()))
+        return sum(map(len, self.queues.values()))
 
-    def offer(self, item: Item, urgency: Urgency, size: int, now: float) -> None:
+    def enqueue(self, item: Item, priority: Priority, size: int, now: float) -> None:
         """Queue a datagram; above the bound the least urgent one is dropped."""
-        self.waiting[urgency].append(Waiting(item, size, now + WAIT_TIME))
-        if self.count() > MAX_WAITING:
-            last = max(urgency for urgency, queue in self.waiting.items() if queue)
-            self.waiting[last].pop()
+        self.queues[priority].append(
+            QueuedDatagram(item, size, now + MAX_QUEUE_SECONDS)
+        )
+        if self.count() > MAX_QUEUED:
+            last = max(priority for priority, queue in self.queues.items() if queue)
+            self.queues[last].pop()
             self.dropped += 1
 
-    def release(self, now: float) -> list[Item]:
+    def dequeue(self, now: float) -> list[Item]:
         """Return what may go now, the most urgent first."""
         released: list[Item] = []
-        for urgency, queue in self.waiting.items():
+        for priority, queue in self.queues.items():
             while queue and queue[0].deadline <= now:
                 queue.popleft()
                 self.dropped += 1
-            while queue and self.pay(urgency, queue[0].size, now):
+            while queue and self.try_charge(priority, queue[0].size, now):
                 released.append(queue.popleft().item)
         return released
 
-    def pay(self, urgency: Urgency, size: int, now: float) -> bool:
+    def try_charge(self, priority: Priority, size: int, now: float) -> bool:
         """Charge a datagram if its class may go; return whether it may."""
-        ahead = BORROWED[urgency]
-        if urgency is Urgency.BULK:
-            start = max(self.bulk_paid_at, now)
+        ahead = BURST_SECONDS[priority]
+        if priority is Priority.BULK:
+            start = max(self.bulk_budget_used_until, now)
             if start - now > ahead:
                 return False
             seconds = (size + IP_UDP_HEADERS) / BULK_BYTES_PER_SECOND
-            self.bulk_paid_at = start + seconds
+            self.bulk_budget_used_until = start + seconds
             return True
-        start = max(self.paid_at, now)
+        start = max(self.budget_used_until, now)
         if start - now > ahead:
             return False
-        self.paid_at = start + (size + IP_UDP_HEADERS) / BYTES_PER_SECOND
+        self.budget_used_until = start + (size + IP_UDP_HEADERS) / BYTES_PER_SECOND
         return True
--- a/citronspring/control/codec.py
+++ b/citronspring/control/codec.py
@@ -29,12 +29,12 @@
 from citronspring.control.wire import (
     STATES,
     STATES_BY_NUMBER,
-    integer,
-    items,
-    malformed,
-    name,
+    check_integer,
+    check_name,
+    malformed_error,
     read_account,
     read_host,
+    read_items,
     read_record,
     write_account,
     write_host,
@@ -86,9 +86,9 @@
     try:
         envelope.read(FACTORY.getProtocol(buffer))
     except DECODING_ERRORS as error:
-        raise malformed(f"encoding ({type(error).__name__})") from None
+        raise malformed_error(f"encoding ({type(error).__name__})") from None
     if buffer.cstringio_buf.tell() != len(data):
-        raise malformed("length")
+        raise malformed_error("length")
     return envelope
 
 
@@ -102,13 +102,13 @@
 
 def read_update(struct: ttypes.HostUpdate) -> HostUpdate:
     """Return news of a host."""
-    host_id = name(struct.host_id, "host")
+    host_id = check_name(struct.host_id, "host")
     if struct.state not in STATES_BY_NUMBER:
-        raise malformed("host state")
+        raise malformed_error("host state")
     return HostUpdate(
         host_id,
         STATES_BY_NUMBER[struct.state],
-        integer(struct.incarnation, "incarnation"),
+        check_integer(struct.incarnation, "incarnation"),
         None if struct.host is None else read_host(struct.host, host_id),
     )
 
@@ -163,7 +163,7 @@
         case Loads(targets, accounts):
             return ttypes.Message(loads=write_loads(targets, accounts))
         case _:
-            raise malformed("type")
+            raise malformed_error("type")
 
 
 def write_loads(
@@ -182,14 +182,14 @@
 def read_message(union: ttypes.Message | None) -> ControlMessage:
     """Return the one message that a union holds."""
     if union is None:
-        raise malformed("type")
+        raise malformed_error("type")
     held = [
         value
         for field in ttypes.Message.__slots__
         if (value := getattr(union, field)) is not None
     ]
     if len(held) != 1:
-        raise malformed("type")
+        raise malformed_error("type")
     return read_struct(held[0])
 
 
@@ -197,22 +197,24 @@
     """Return the message of a generated struct."""
     match struct:
         case ttypes.Ping():
-            return Ping(*read_heartbeat(struct), items(struct.members, read_update))
+            return Ping(
+                *read_heartbeat(struct), read_items(struct.members, read_update)
+            )
         case ttypes.Ack():
             return Ack(*read_heartbeat(struct))
         case ttypes.PingRequest():
             sequence, revision, updates = read_heartbeat(struct)
-            host_id = name(struct.host_id, "host")
+            host_id = check_name(struct.host_id, "host")
             return PingRequest(sequence, host_id, revision, updates)
         case ttypes.Gossip():
-            revision = integer(struct.revision, "revision")
-            return Gossip(revision, items(struct.updates, read_update))
+            revision = check_integer(struct.revision, "revision")
+            return Gossip(revision, read_items(struct.updates, read_update))
         case ttypes.MembersRequest():
-            part = integer(struct.part, "part", MAX_PARTS)
-            return MembersRequest(part, items(struct.updates, read_update))
+            part = check_integer(struct.part, "part", MAX_PARTS)
+            return MembersRequest(part, read_items(struct.updates, read_update))
         case ttypes.Members():
             part, parts = read_part(struct, least=0)
-            return Members(part, parts, items(struct.updates, read_update))
+            return Members(part, parts, read_items(struct.updates, read_update))
         case _:
             return read_configuration_struct(struct)
 
@@ -220,19 +222,19 @@
 def read_heartbeat(struct: Any) -> tuple[int, int, tuple[HostUpdate, ...]]:
     """Return what pings and their answers have in common."""
     return (
-        integer(struct.sequence, "sequence number"),
-        integer(struct.revision, "revision"),
-        items(struct.updates, read_update),
+        check_integer(struct.sequence, "sequence number"),
+        check_integer(struct.revision, "revision"),
+        read_items(struct.updates, read_update),
     )
 
 
 def read_part(struct: Any, least: int = 1) -> tuple[int, int]:
     """Return which part of how many a message is."""
-    parts = integer(struct.parts, "number of parts", MAX_PARTS)
+    parts = check_integer(struct.parts, "number of parts", MAX_PARTS)
     if parts < least:
-        raise malformed("number of parts")
+        raise malformed_error("number of parts")
     highest = max(parts - 1, 0) if least else MAX_PARTS
-    return integer(struct.part, "part", highest), parts
+    return check_integer(struct.part, "part", highest), parts
 
 
 def read_configuration_struct(struct: Any) -> ControlMessage:
@@ -241,30 +243,30 @@
         case ttypes.Records():
             return read_records(struct)
         case ttypes.RecordsRequest():
-            return RecordsRequest(integer(struct.after_revision, "revision"))
+            return RecordsRequest(check_integer(struct.after_revision, "revision"))
         case ttypes.SnapshotRequest():
-            revision = integer(struct.revision, "revision")
-            part = integer(struct.part, "part", MAX_PARTS)
-            count = integer(struct.count, "number of parts", MAX_ITEMS)
+            revision = check_integer(struct.revision, "revision")
+            part = check_integer(struct.part, "part", MAX_PARTS)
+            count = check_integer(struct.count, "number of parts", MAX_ITEMS)
             return SnapshotRequest(revision, part, count)
         case ttypes.SnapshotPart():
             part, parts = read_part(struct)
-            accounts = items(struct.accounts, read_account)
-            revision = integer(struct.revision, "revision")
+            accounts = read_items(struct.accounts, read_account)
+            revision = check_integer(struct.revision, "revision")
             return SnapshotPart(revision, part, parts, accounts)
         case ttypes.Loads():
-            targets = items(struct.targets, read_target_load)
-            return Loads(targets, items(struct.accounts, read_account_use))
+            targets = read_items(struct.targets, read_target_load)
+            return Loads(targets, read_items(struct.accounts, read_account_use))
         case _:
-            raise malformed("type")
+            raise malformed_error("type")
 
 
 def read_records(struct: ttypes.Records) -> Records:
     """Return change records; a piece is always of one record with an account."""
     part, parts = read_part(struct)
-    records = items(struct.records, read_record)
+    records = read_items(struct.records, read_record)
     if parts > 1 and (len(records) != 1 or records[0].account is None):
-        raise malformed("piece of a change record")
+        raise malformed_error("piece of a change record")
     return Records(records, part, parts)
 
 
@@ -272,14 +274,14 @@
     """Return the load of a target."""
     load = struct.load
     return TargetLoad(
-        name(struct.target_id, "target"),
-        integer(struct.flows, "number of flows"),
-        None if load is None else integer(load, "load", 255),
+        check_name(struct.target_id, "target"),
+        check_integer(struct.flows, "number of flows"),
+        None if load is None else check_integer(load, "load", 255),
         struct.healthy,
     )
 
 
 def read_account_use(struct: ttypes.AccountUse) -> AccountUse:
     """Return the use of an account."""
-    flows = integer(struct.open_flows, "number of flows")
-    return AccountUse(name(struct.account_id, "account"), flows)
+    flows = check_integer(struct.open_flows, "number of flows")
+    return AccountUse(check_name(struct.account_id, "account"), flows)
--- a/citronspring/control/envelope.py
+++ b/citronspring/control/envelope.py
@@ -14,7 +14,7 @@
 
 from citronspring.control.codec import decode, encode, read_message, write_message
 from citronspring.control.generated import ttypes
-from citronspring.control.wire import integer, name
+from citronspring.control.wire import check_integer, check_name
 from citronspring.errors import ControlMessageError
 
 if TYPE_CHECKING:
@@ -30,13 +30,13 @@
 MAX_DATAGRAM = 8192
 
 #: Milliseconds that two hosts' clocks, and the way between them, may differ.
-MAX_AGE = 30_000
+MAX_CLOCK_SKEW_MS = 30_000
 
 #: Sequence numbers behind the highest that may still arrive, once each.
 REPLAY_WINDOW = 1024
 
 #: Shortest key, in bytes.
-LEAST_KEY = 16
+MIN_KEY_BYTES = 16
 
 
 @dataclass(slots=True)
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True)
-class Opened:
+class ReceivedMessage:
     """A genuine control message."""
 
     sender: str
@@ -74,7 +74,7 @@
 
 
 @dataclass(slots=True)
-class Sealer:
+class DatagramEncoder:
     """Makes this host's datagrams."""
 
     sender: str
@@ -83,7 +83,9 @@
     boot_time: int
     sequence: int = 0
 
-    def seal(self, message: ControlMessage, receiver: str, now: int) -> bytes:
+    def encode_datagram(
+        self, message: ControlMessage, receiver: str, now: int
+    ) -> bytes:
         """Return the datagram of a message to a host.
 
         Parameters
@@ -108,7 +110,7 @@
 
 
 @dataclass(slots=True)
-class Opener:
+class DatagramDecoder:
     """Checks and reads datagrams for this host."""
 
     receiver: str
@@ -116,7 +118,7 @@
     keys: tuple[bytes, ...]
     windows: dict[str, ReplayWindow] = field(default_factory=dict)
 
-    def open(self, datagram: bytes, now: int) -> Opened:
+    def decode_datagram(self, datagram: bytes, now: int) -> ReceivedMessage:
         """Return the message of a datagram.
 
         Raises
@@ -126,46 +128,46 @@
             has changed then.
         """
         if len(datagram) > MAX_DATAGRAM:
-            raise refused("oversized", "shorten names")
+            raise rejection_error("oversized", "shorten names")
         if len(datagram) <= HEADER_SIZE or not datagram.startswith(VERSION):
-            raise refused("malformed", "run the same release on all hosts")
+            raise rejection_error("malformed", "run the same release on all hosts")
         self.authenticate(datagram[len(VERSION) : HEADER_SIZE], datagram[HEADER_SIZE:])
         envelope = decode(datagram[HEADER_SIZE:])
-        sender = name(envelope.sender, "sender")
-        if abs(integer(envelope.sent_at, "time") - now) > MAX_AGE:
-            raise refused("clock", "set the clocks of all hosts by one source")
+        sender = check_name(envelope.sender, "sender")
+        if abs(check_integer(envelope.sent_at, "time") - now) > MAX_CLOCK_SKEW_MS:
+            raise rejection_error("clock", "set the clocks of all hosts by one source")
         message = read_message(envelope.message)
-        self.check_new(sender, envelope, now)
-        return Opened(sender, message)
+        self.check_replay(sender, envelope, now)
+        return ReceivedMessage(sender, message)
 
     def authenticate(self, digest: bytes, body: bytes) -> None:
         """Check the digest against every accepted key."""
         for key in self.keys:
             if hmac.compare_digest(digest, digest_of(key, self.receiver, body)):
                 return
-        raise refused("forged", "give all hosts the same control key")
+        raise rejection_error("forged", "give all hosts the same control key")
 
-    def check_new(self, sender: str, envelope: ttypes.Envelope, now: int) -> None:
+    def check_replay(self, sender: str, envelope: ttypes.Envelope, now: int) -> None:
         """Refuse what came before, or from before the sender's last start."""
-        boot_time = integer(envelope.boot_time, "boot time")
-        sequence = integer(envelope.sequence, "sequence number")
+        boot_time = check_integer(envelope.boot_time, "boot time")
+        sequence = check_integer(envelope.sequence, "sequence number")
         window = self.windows.get(sender)
         if window is None or boot_time > window.boot_time:
-            self.forget_old(now)
+            self.remove_expired_windows(now)
             window = ReplayWindow(boot_time)
             self.windows[sender] = window
         if boot_time < window.boot_time or not window.admit(sequence):
-            raise refused("replayed", "look for who sends copies")
-        window.expires_at = now + 2 * MAX_AGE
+            raise rejection_error("replayed", "look for who sends copies")
+        window.expires_at = now + 2 * MAX_CLOCK_SKEW_MS
 
-    def forget_old(self, now: int) -> None:
+    def remove_expired_windows(self, now: int) -> None:
         """Forget senders whose datagrams are all too old by now."""
         expired = [key for key, row in self.windows.items() if row.expires_at <= now]
         for sender in expired:
             del self.windows[sender]
 
 
-def refused(reason: str, remedy: str) -> ControlMessageError:
+def rejection_error(reason: str, remedy: str) -> ControlMessageError:
     """Return the error for a datagram that is not taken."""
     return ControlMessageError(f"{reason} control datagram", remedy, reason=reason)
 
--- a/citronspring/control/tables.py
+++ b/citronspring/control/tables.py
@@ -26,14 +26,14 @@
 
 
 @dataclass(slots=True)
-class HashedSource:
+class HashedRandomSource:
     """Random numbers that depend on a host's identity alone."""
 
     seed: int
     count: int = 0
 
     @classmethod
-    def from_host(cls, host_id: str, incarnation: int) -> HashedSource:
+    def from_host(cls, host_id: str, incarnation: int) -> HashedRandomSource:
         """Make the source of one run of a host."""
         return cls(seed_of(f"{host_id}:{incarnation}"))
 
@@ -69,7 +69,7 @@
 
 
 @dataclass(slots=True)
-class ForwardRow:
+class IndirectPingRow:
     """A ping made for another host."""
 
     requester: str
@@ -115,11 +115,11 @@
     next_gossip_at: float = 0.0
     #: Unanswered pings by sequence number.
     probes: dict[int, ProbeRow] = field(default_factory=dict)
-    forwards: dict[int, ForwardRow] = field(default_factory=dict)
+    indirect_pings: dict[int, IndirectPingRow] = field(default_factory=dict)
     #: News by host id, the newest of each host.
     updates: dict[str, UpdateRow] = field(default_factory=dict)
     #: Hosts that answered a ping, and so know this host's sockets.
-    introduced: set[str] = field(default_factory=set)
+    acknowledged: set[str] = field(default_factory=set)
     #: Hosts named by the settings; never forgotten.
     seeds: frozenset[str] = frozenset()
     join: JoinRow | None = None
@@ -151,14 +151,14 @@
     #: Another peer is asked at this time, unless this one sent enough by then.
     retry_at: float
     #: Parts that had arrived when the peer was last judged.
-    judged_at: int = 0
+    parts_at_last_check: int = 0
     revision: int = 0
     #: Number of parts; unknown before the first.
     parts: int | None = None
     #: Accounts, or pieces of them, by part.
     received: dict[int, tuple[Account, ...]] = field(default_factory=dict)
     #: Times at which missing parts are asked for again.
-    ask_again_at: dict[int, float] = field(default_factory=dict)
+    part_retry_at: dict[int, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -178,7 +178,7 @@
     #: Applied records by revision, the newest ones without a gap.
     recent: dict[int, ChangeRecord] = field(default_factory=dict)
     #: Records that wait for an earlier one.
-    early: dict[int, ChangeRecord] = field(default_factory=dict)
+    out_of_order: dict[int, ChangeRecord] = field(default_factory=dict)
     #: Pieces of large records, by revision and part.
     pieces: dict[int, dict[int, Records]] = field(default_factory=dict)
     pushes: dict[int, PushRow] = field(default_factory=dict)
@@ -188,7 +188,7 @@
     bulk: BulkRow | None = None
     offers: dict[int, OfferRow] = field(default_factory=dict)
     #: Time at which bulk parts sent so far are paid off.
-    bulk_paid_at: float = 0.0
+    bulk_budget_used_until: float = 0.0
     is_reader: bool = False
     #: The platform is read at this time.
     read_at: float = 0.0
@@ -201,11 +201,11 @@
     """Whether this host may forward, after its clock has jumped."""
 
     #: Time of the last tick; None before the first.
-    ticked_at: float | None = None
+    last_tick_at: float | None = None
     #: Forwards again at this time, whatever it has heard; None when not fenced.
     until: float | None = None
     #: Peers are asked again at this time.
-    ask_at: float = 0.0
+    next_query_at: float = 0.0
     #: Pings sent since the jump: only answers to these are known to be fresh.
     sequences: set[int] = field(default_factory=set)
     #: Whether the platform was read since the jump.
--- a/citronspring/control/wire.py
+++ b/citronspring/control/wire.py
@@ -37,37 +37,39 @@
     HostState.LEAVING: ttypes.HostState.LEAVING,
     HostState.DEAD: ttypes.HostState.DEAD,
 }
-STATES_BY_NUMBER = {number: state for state, number in STATES.items()}
+STATES_BY_NUMBER = {check_number: state for state, check_number in STATES.items()}
 
 
-def malformed(what: str) -> ControlMessageError:
+def malformed_error(what: str) -> ControlMessageError:
     """Return the error for a field that is missing or out of range."""
     message = f"control message with a bad {what}"
     return ControlMessageError(message, "run the same release on all hosts")
 
 
-def integer(value: int | None, what: str, highest: int = MAX_INTEGER) -> int:
+def check_integer(value: int | None, what: str, highest: int = MAX_INTEGER) -> int:
     """Return a number from 0 to the highest allowed."""
     if value is None or not 0 <= value <= highest:
-        raise malformed(what)
+        raise malformed_error(what)
     return value
 
 
-def number(value: float | None, what: str) -> float:
+def check_number(value: float | None, what: str) -> float:
     """Return a finite number that is not negative."""
     if value is None or not math.isfinite(value) or value < 0.0:
-        raise malformed(what)
+        raise malformed_error(what)
     return value
 
 
-def name(value: str | None, what: str) -> str:
+def check_name(value: str | None, what: str) -> str:
     """Return a name that is not empty and not too long."""
     if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME:
-        raise malformed(what)
+        raise malformed_error(what)
     return value
 
 
-def items(values: list[Any] | None, read: Callable[[Any], Item]) -> tuple[Item, ...]:
+def read_items(
+    values: list[Any] | None, read: Callable[[Any], Item]
+) -> tuple[Item, ...]:
     """Return a list's items, each read and checked."""
     return tuple(read(value) for value in values or ())
 
@@ -80,7 +82,7 @@
 def read_ip(packed: bytes | None) -> str:
     """Return an address as text."""
     if not isinstance(packed, bytes) or len(packed) not in (4, 16):
-        raise malformed("address")
+        raise malformed_error("address")
     return str(ipaddress.ip_address(packed))
 
 
@@ -92,8 +94,8 @@
 def read_endpoint(struct: ttypes.Endpoint | None) -> Endpoint:
     """Return an endpoint."""
     if struct is None:
-        raise malformed("endpoint")
-    return Endpoint(read_ip(struct.ip), integer(struct.port, "port", 65535))
+        raise malformed_error("endpoint")
+    return Endpoint(read_ip(struct.ip), check_integer(struct.port, "port", 65535))
 
 
 def write_address(address: ServiceAddress) -> ttypes.ServiceAddress:
@@ -105,8 +107,8 @@
 def read_address(struct: ttypes.ServiceAddress) -> ServiceAddress:
     """Return a service address."""
     if struct.protocol not in Protocol.__members__.values():
-        raise malformed("protocol")
-    port = integer(struct.port, "port", 65535)
+        raise malformed_error("protocol")
+    port = check_integer(struct.port, "port", 65535)
     return ServiceAddress(read_ip(struct.ip), port, Protocol(struct.protocol))
 
 
@@ -128,15 +130,15 @@
     """Return a target of an account."""
     leaving = struct.leaving_revision
     return Target(
-        name(struct.target_id, "target"),
+        check_name(struct.target_id, "target"),
         account_id,
         read_endpoint(struct.tunnel),
-        name(struct.zone, "zone"),
-        integer(struct.slots, "number of slots"),
-        integer(struct.max_connections, "limit"),
+        check_name(struct.zone, "zone"),
+        check_integer(struct.slots, "number of slots"),
+        check_integer(struct.max_connections, "limit"),
         None if struct.health is None else read_endpoint(struct.health),
-        integer(struct.added_revision, "revision"),
-        None if leaving is None else integer(leaving, "revision"),
+        check_integer(struct.added_revision, "revision"),
+        None if leaving is None else check_integer(leaving, "revision"),
     )
 
 
@@ -159,12 +161,12 @@
     if struct is None:
         return AccountLimits()
     return AccountLimits(
-        integer(struct.max_connections, "limit"),
-        number(struct.new_per_second, "rate"),
-        number(struct.retry_ratio, "ratio"),
-        number(struct.opening_timeout, "timeout"),
-        number(struct.tcp_idle_timeout, "timeout"),
-        number(struct.udp_idle_timeout, "timeout"),
+        check_integer(struct.max_connections, "limit"),
+        check_number(struct.new_per_second, "rate"),
+        check_number(struct.retry_ratio, "ratio"),
+        check_number(struct.opening_timeout, "timeout"),
+        check_number(struct.tcp_idle_timeout, "timeout"),
+        check_number(struct.udp_idle_timeout, "timeout"),
     )
 
 
@@ -181,12 +183,12 @@
 
 def read_account(struct: ttypes.Account) -> Account:
     """Return an account."""
-    account_id = name(struct.account_id, "account")
+    account_id = check_name(struct.account_id, "account")
     return Account(
         account_id,
-        items(struct.addresses, read_address),
-        items(struct.targets, lambda target: read_target(target, account_id)),
-        items(struct.zones, lambda zone: name(zone, "zone")),
+        read_items(struct.addresses, read_address),
+        read_items(struct.targets, lambda target: read_target(target, account_id)),
+        read_items(struct.zones, lambda zone: check_name(zone, "zone")),
         read_limits(struct.limits),
     )
 
@@ -203,13 +205,13 @@
     """Return a change record; one that touched no account names none."""
     account = None if struct.account is None else read_account(struct.account)
     record = ChangeRecord(
-        integer(struct.revision, "revision"),
-        name(struct.change_id, "change id"),
-        name(struct.account_id, "account") if struct.account_id else "",
+        check_integer(struct.revision, "revision"),
+        check_name(struct.change_id, "change id"),
+        check_name(struct.account_id, "account") if struct.account_id else "",
         account,
     )
     if account is not None and account.account_id != record.account_id:
-        raise malformed("change record")
+        raise malformed_error("change record")
     return record
 
 
@@ -228,8 +230,8 @@
     """Return a host."""
     return Host(
         host_id,
-        name(struct.zone, "zone"),
-        name(struct.group, "group"),
+        check_name(struct.zone, "zone"),
+        check_name(struct.group, "group"),
         read_endpoint(struct.tunnel),
         read_endpoint(struct.relay),
         read_endpoint(struct.control),
--- a/citronspring/daemons/control.py
+++ b/citronspring/daemons/control.py
@@ -9,10 +9,14 @@
 from citronspring.control.budget import (
     IP_UDP_HEADERS,
     ControlBudget,
-    Urgency,
-    urgency_of,
+    Priority,
+    priority_of,
+)
+from citronspring.control.envelope import (
+    MIN_KEY_BYTES,
+    DatagramDecoder,
+    DatagramEncoder,
 )
-from citronspring.control.envelope import LEAST_KEY, Opener, Sealer
 from citronspring.daemons.sockets import bind_udp, send
 from citronspring.errors import ControlMessageError, SettingsError
 from citronspring.events import CONTROL_WITHOUT_KEY
@@ -30,7 +34,7 @@
     from citronspring.settings import ControlSection, Settings
 
 #: Key of hosts that all live on loopback, where settings need not give one.
-LOOPBACK_KEY = bytes(LEAST_KEY)
+LOOPBACK_KEY = bytes(MIN_KEY_BYTES)
 
 
 def wall_clock() -> int:
@@ -68,8 +72,8 @@
         self.perform = perform
         keys = read_keys(settings.control)
         host_id = settings.host.id
-        self.sealer = Sealer(host_id, keys[0], boot_time)
-        self.opener = Opener(host_id, keys)
+        self.encoder = DatagramEncoder(host_id, keys[0], boot_time)
+        self.decoder = DatagramDecoder(host_id, keys)
         self.budget: ControlBudget[Outgoing] = ControlBudget()
         self.socket = bind_udp(settings.host.control)
 
@@ -92,7 +96,7 @@
     def receive(self, datagram: bytes, source: Source) -> None:
         """Hand a genuine message to the core; count any other datagram."""
         try:
-            opened = self.opener.open(datagram, wall_clock())
+            opened = self.decoder.decode_datagram(datagram, wall_clock())
         except ControlMessageError as error:
             self.core.tables.counters[f"control.rejected.{error.reason}"] += 1
             return
@@ -102,19 +106,21 @@
     def send(self, action: SendControl) -> None:
         """Send a message now, or once the budget allows it."""
         try:
-            datagram = self.sealer.seal(action.message, action.host_id, wall_clock())
+            datagram = self.encoder.encode_datagram(
+                action.message, action.host_id, wall_clock()
+            )
         except ControlMessageError as error:
             self.core.tables.counters[f"control.unsent.{error.reason}"] += 1
             return
-        urgency = urgency_of(action.message)
+        urgency = priority_of(action.message)
         outgoing = Outgoing(action.host_id, datagram, urgency)
-        self.budget.offer(outgoing, urgency, len(datagram), self.clock())
+        self.budget.enqueue(outgoing, urgency, len(datagram), self.clock())
         self.flush()
 
     def flush(self) -> None:
         """Send what the budget allows by now."""
         counters = self.core.tables.counters
-        for outgoing in self.budget.release(self.clock()):
+        for outgoing in self.budget.dequeue(self.clock()):
             row = self.core.tables.hosts.get(outgoing.host_id)
             if row is None:
                 continue
@@ -130,7 +136,7 @@
 
     __slots__ = ("datagram", "host_id", "urgency")
 
-    def __init__(self, host_id: str, datagram: bytes, urgency: Urgency) -> None:
+    def __init__(self, host_id: str, datagram: bytes, urgency: Priority) -> None:
         self.host_id = host_id
         self.datagram = datagram
         self.urgency = urgency
@@ -138,7 +144,7 @@
     @property
     def counter(self) -> str:
         """Name of the counter of its bytes; copies to new hosts count apart."""
-        bulk = self.urgency is Urgency.BULK
+        bulk = self.urgency is Priority.BULK
         return "control.bulk_bytes_sent" if bulk else "control.bytes_sent"
 
 
@@ -162,7 +168,7 @@
 
 def read_key(name: str, value: SecretStr | None, file: str | None) -> bytes:
     """Return one key from the settings or its file."""
-    remedy = f"give at least {LEAST_KEY} bytes as hexadecimal digits"
+    remedy = f"give at least {MIN_KEY_BYTES} bytes as hexadecimal digits"
     text = value.get_secret_value() if value is not None else ""
     if file is not None:
         try:
@@ -175,6 +181,6 @@
     except ValueError:
         raise SettingsError(f"{name} is not hexadecimal", remedy) from None
     # blake2b takes keys of at most 64 bytes.
-    if not LEAST_KEY <= len(key) <= 64:
+    if not MIN_KEY_BYTES <= len(key) <= 64:
         raise SettingsError(f"{name} has {len(key)} bytes", remedy)
     return key
--- a/citronspring/experiments/run.py
+++ b/citronspring/experiments/run.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from citronspring.balancer import Balancer
-from citronspring.configuration.running import run_in_place
+from citronspring.configuration.runner import run_in_place
 from citronspring.configuration.shards import HEAD_KEY
 from citronspring.configuration.store import ConfigurationStore
 from citronspring.daemons.reader import zone_revision
--- a/citronspring/key_value/http.py
+++ b/citronspring/key_value/http.py
@@ -42,7 +42,7 @@
 )
 
 #: Answers to a write that say why the service did not run it.
-CONDITIONS = (
+REFUSAL_CODES = (
     httpx.codes.PRECONDITION_FAILED,
     httpx.codes.REQUEST_ENTITY_TOO_LARGE,
 )
@@ -95,10 +95,10 @@
         try:
             version = version_of(response)
         except ValueError as error:
-            raise unanswered(key, error) from error
+            raise no_answer_error(key, error) from error
         if expected != ABSENT and epoch_of(version) != epoch_of(expected):
             # The version that was compared is not the one that was expected.
-            raise unanswered(key, "the service came back from an older copy")
+            raise no_answer_error(key, "the service came back from an older copy")
         return version
 
     async def delete(self, key: str) -> None:
@@ -125,7 +125,7 @@
             body = response.json()
             return HostList(frozenset(body["live"]), frozenset(body["leaving"]))
         except (ValueError, KeyError, TypeError) as error:
-            raise unreadable(response) from error
+            raise unreadable_error(response) from error
 
     async def read(
         self,
@@ -137,10 +137,10 @@
         try:
             response = await self.client.get(path, params=query, timeout=timeout)
         except httpx.HTTPError as error:
-            raise unavailable(error) from error
+            raise unavailable_error(error) from error
         if response.is_success or response.status_code == httpx.codes.NOT_FOUND:
             return response
-        raise unavailable(response.status_code)
+        raise unavailable_error(response.status_code)
 
     async def write(
         self, method: str, key: str, value: bytes, headers: dict[str, str]
@@ -156,14 +156,14 @@
                 method, path_of(key), content=value, headers=headers
             )
         except NOT_SENT as error:
-            raise unavailable(error) from error
+            raise unavailable_error(error) from error
         except httpx.HTTPError as error:
-            raise unanswered(key, error) from error
-        if response.is_success or response.status_code in CONDITIONS:
+            raise no_answer_error(key, error) from error
+        if response.is_success or response.status_code in REFUSAL_CODES:
             return response
         if response.is_client_error:
-            raise unavailable(response.status_code)
-        raise unanswered(key, response.status_code)
+            raise unavailable_error(response.status_code)
+        raise no_answer_error(key, response.status_code)
 
 
 def path_of(key: str) -> str:
@@ -192,22 +192,22 @@
     try:
         return StoredValue(response.content, version_of(response))
     except ValueError as error:
-        raise unreadable(response) from error
+        raise unreadable_error(response) from error
 
 
-def unavailable(cause: object) -> PlatformUnavailableError:
+def unavailable_error(cause: object) -> PlatformUnavailableError:
     """Make the error of a call that was not taken."""
     return PlatformUnavailableError(
         f"the platform took no call ({cause!r})", "try again when it is back"
     )
 
 
-def unanswered(key: str, cause: object) -> OutcomeUnknownError:
+def no_answer_error(key: str, cause: object) -> OutcomeUnknownError:
     """Make the error of a write without an answer."""
     return OutcomeUnknownError(f"no answer to the write of {key} ({cause!r})")
 
 
-def unreadable(response: httpx.Response) -> PlatformUnavailableError:
+def unreadable_error(response: httpx.Response) -> PlatformUnavailableError:
     """Make the error of an answer to a read that follows no contract."""
     return PlatformUnavailableError(
         f"the platform answered {response.status_code} with no readable value",
--- a/citronspring/settings.py
+++ b/citronspring/settings.py
@@ -23,7 +23,7 @@
 from citronspring.balancer import DEFAULT_MAX_FLOWS
 from citronspring.entities import Endpoint, Host
 from citronspring.errors import SettingsError
-from citronspring.settings_errors import finding, settings_error, shown
+from citronspring.settings_errors import cross_key_error, escape, settings_error
 
 #: Port of the administration API unless the settings say otherwise.
 DEFAULT_ADMIN_PORT = 8440
@@ -150,12 +150,14 @@
     def check_keys(self) -> Self:
         """Require one place for each key, and a key before a previous one."""
         if self.key is not None and self.key_file is not None:
-            raise finding("key_file", "(hidden)", "give either key or key_file")
+            raise cross_key_error("key_file", "(hidden)", "give either key or key_file")
         if self.previous_key is not None and self.previous_key_file is not None:
             remedy = "give either previous_key or previous_key_file"
-            raise finding("previous_key", "(hidden)", remedy)
+            raise cross_key_error("previous_key", "(hidden)", remedy)
         if self.has_previous and not self.has_key:
-            raise finding("key", "", "give the key in use beside the previous one")
+            raise cross_key_error(
+                "key", "", "give the key in use beside the previous one"
+            )
         return self
 
     @property
@@ -184,7 +186,7 @@
         """Require exactly one place to read the token from."""
         if (self.file is None) == (self.env is None):
             remedy = "name either a file or an environment variable (env)"
-            raise finding("", self.name, remedy)
+            raise cross_key_error("", self.name, remedy)
         return self
 
 
@@ -209,11 +211,13 @@
         if (self.certificate_file is None) != (self.key_file is None):
             given = "certificate_file" if self.certificate_file else "key_file"
             remedy = "give certificate_file and key_file together"
-            raise finding(given, getattr(self, given), remedy)
+            raise cross_key_error(given, getattr(self, given), remedy)
         names = [token.name for token in self.tokens]
         for index, name in enumerate(names):
             if name in names[:index]:
-                raise finding(f"tokens.{index}.name", name, "name each token once")
+                raise cross_key_error(
+                    f"tokens.{index}.name", name, "name each token once"
+                )
         return self
 
 
@@ -250,10 +254,10 @@
         except ValidationError as error:
             raise settings_error(path, error, known_keys()) from None
         except OSError as error:
-            message = f"{shown(path)}: cannot be read: {error.strerror}"
+            message = f"{escape(path)}: cannot be read: {error.strerror}"
             raise SettingsError(message, "name a readable TOML file") from None
         except (ValueError, RecursionError) as error:
-            message = f"{shown(path)}: {shown(error)}"
+            message = f"{escape(path)}: {escape(error)}"
             raise SettingsError(message, "write it as TOML 1.0 in UTF-8") from None
 
     @property
@@ -261,7 +265,7 @@
         """Where the administration API is to listen."""
         return self.admin.listen or Endpoint(self.host.control.ip, DEFAULT_ADMIN_PORT)
 
-    def sections(self) -> list[tuple[str, HostSection]]:
+    def host_sections(self) -> list[tuple[str, HostSection]]:
         """Return this host and its peers with their keys."""
         peers = [(f"peers.{index}", peer) for index, peer in enumerate(self.peers)]
         return [("host", self.host), *peers]
@@ -270,10 +274,10 @@
     def check_ids(self) -> Self:
         """Refuse two hosts of one id: each would take the other's flows."""
         seen: dict[str, str] = {}
-        for key, section in self.sections():
+        for key, section in self.host_sections():
             if section.id in seen:
                 remedy = f"{seen[section.id]} has this id: give each host its own"
-                raise finding(f"{key}.id", section.id, remedy)
+                raise cross_key_error(f"{key}.id", section.id, remedy)
             seen[section.id] = key
         return self
 
@@ -284,33 +288,33 @@
         Nobody would wait for such a zone before an address moves to another
         account, and its hosts would send packets to the wrong one.
         """
-        for key, section in self.sections():
+        for key, section in self.host_sections():
             if section.zone not in self.platform.zones:
                 remedy = "list it in platform.zones, or correct its spelling"
-                raise finding(f"{key}.zone", section.zone, remedy)
+                raise cross_key_error(f"{key}.zone", section.zone, remedy)
         return self
 
     @model_validator(mode="after")
     def check_sockets(self) -> Self:
         """Refuse one address for two sockets: a packet would be misread."""
         seen: dict[Endpoint, str] = {}
-        for key, section in self.sections():
+        for key, section in self.host_sections():
             for name in SOCKETS:
                 endpoint = getattr(section, name)
                 if endpoint in seen:
                     remedy = f"{seen[endpoint]} is there already: use another port"
-                    raise finding(f"{key}.{name}", endpoint, remedy)
+                    raise cross_key_error(f"{key}.{name}", endpoint, remedy)
                 seen[endpoint] = f"{key}.{name}"
         return self
 
     @model_validator(mode="after")
     def check_control(self) -> Self:
         """Refuse control sockets that others reach when there is no key."""
-        for key, section in self.sections():
+        for key, section in self.host_sections():
             ip = section.control.ip
             if not self.control.has_key and not ip_address(ip).is_loopback:
                 remedy = f"{key}.control is not on loopback: give all hosts one key"
-                raise finding("control.key_file", "", remedy)
+                raise cross_key_error("control.key_file", "", remedy)
         return self
 
     @model_validator(mode="after")
@@ -324,10 +328,10 @@
         named = [("fabric.gateway", gateway.ip, str(gateway))]
         for index, source in enumerate(self.fabric.sources):
             named.append((f"fabric.sources.{index}", source, source))
-        for key, section in self.sections():
+        for key, section in self.host_sections():
             ips = {getattr(section, name).ip for name in SOCKETS}
             for fabric_key, ip, value in named:
                 if ip in ips:
                     remedy = f"{key} uses this address: give the fabric its own"
-                    raise finding(fabric_key, value, remedy)
+                    raise cross_key_error(fabric_key, value, remedy)
         return self
--- a/citronspring/settings_errors.py
+++ b/citronspring/settings_errors.py
@@ -16,16 +16,16 @@
     from pydantic import ValidationError
 
 #: Type of the findings that carry key, value and remedy themselves.
-FINDING = "finding"
+CROSS_KEY_ERROR = "finding"
 
 #: Longest value that an error shows, characters.
-SHOWN_LENGTH = 80
+MAX_PRINTED_LENGTH = 80
 
 #: Sections whose values may be secrets put in by mistake.
 SECRET_SECTIONS = ("admin.tokens", "control")
 
 
-def finding(key: str, value: object, remedy: str) -> PydanticCustomError:
+def cross_key_error(key: str, value: object, remedy: str) -> PydanticCustomError:
     """Make the finding of a check over several keys.
 
     Parameters
@@ -38,7 +38,7 @@
         What to do about it.
     """
     context = {"key": key, "value": str(value), "remedy": remedy}
-    return PydanticCustomError(FINDING, "{remedy}", context)
+    return PydanticCustomError(CROSS_KEY_ERROR, "{remedy}", context)
 
 
 def settings_error(
@@ -58,17 +58,17 @@
     first: Any = error.errors(include_url=False)[0]
     parts = [str(part) for part in first["loc"]]
     value = first["input"]
-    if first["type"] == FINDING:
+    if first["type"] == CROSS_KEY_ERROR:
         parts += [first["ctx"]["key"]] if first["ctx"]["key"] else []
         value = first["ctx"]["value"]
-    key = shown(".".join(parts))
+    key = escape(".".join(parts))
     if first["type"] == "missing":
-        return SettingsError(f"{shown(path)}: {key} is missing", f"add {key}")
-    text = "(hidden)" if is_secret(key) else shown(repr(value))
+        return SettingsError(f"{escape(path)}: {key} is missing", f"add {key}")
+    text = "(hidden)" if is_secret(key) else escape(repr(value))
     if first["type"] == "extra_forbidden":
-        message = f"{shown(path)}: {key} = {text}: not a known key"
+        message = f"{escape(path)}: {key} = {text}: not a known key"
         return SettingsError(message, remedy_of_unknown(parts[-1], known))
-    message = f"{shown(path)}: {key} = {text} is not valid"
+    message = f"{escape(path)}: {key} = {text} is not valid"
     return SettingsError(message, remedy_of(first, parts[-1] if parts else ""))
 
 
@@ -88,17 +88,17 @@
 def remedy_of(first: Any, key: str) -> str:
     """Return what to do about a value that does not fit."""
     reason = first["msg"].removeprefix("Value error, ")
-    if key.endswith("_seconds") and first["type"] != FINDING:
-        return f"give seconds as a plain number without a unit: {shown(reason)}"
-    return shown(reason[0].lower() + reason[1:])
+    if key.endswith("_seconds") and first["type"] != CROSS_KEY_ERROR:
+        return f"give seconds as a plain number without a unit: {escape(reason)}"
+    return escape(reason[0].lower() + reason[1:])
 
 
-def shown(value: object) -> str:
+def escape(value: object) -> str:
     """Return a value as text that fits on the line of an error."""
     printable = "".join(
         char if char.isprintable() else char.encode("unicode_escape").decode()
         for char in str(value)
     )
-    if len(printable) <= SHOWN_LENGTH:
+    if len(printable) <= MAX_PRINTED_LENGTH:
         return printable
-    return f"{printable[:SHOWN_LENGTH]}..."
+    return f"{printable[:MAX_PRINTED_LENGTH]}..."
--- a/citronspring/systems/bulk.py
+++ b/citronspring/systems/bulk.py
@@ -140,9 +140,11 @@
 def pay_for_part(tables: Tables, now: float) -> bool:
     """Pace the parts over all who ask; return whether one may go."""
     spread = tables.spread
-    if spread.bulk_paid_at - now > PARTS_BURST:
+    if spread.bulk_budget_used_until - now > PARTS_BURST:
         return False
-    spread.bulk_paid_at = max(spread.bulk_paid_at, now) + 1.0 / PARTS_PER_SECOND
+    spread.bulk_budget_used_until = (
+        max(spread.bulk_budget_used_until, now) + 1.0 / PARTS_PER_SECOND
+    )
     return True
 
 
@@ -187,11 +189,11 @@
 def restart(bulk: BulkRow, sender: str, message: SnapshotPart) -> None:
     """Begin again with a newer configuration; parts of two must never mix."""
     bulk.peer = sender
-    bulk.judged_at = 0
+    bulk.parts_at_last_check = 0
     bulk.revision = message.revision
     bulk.parts = message.parts
     bulk.received.clear()
-    bulk.ask_again_at.clear()
+    bulk.part_retry_at.clear()
 
 
 def run_bulk(tables: Tables, now: float, actions: list[Action]) -> None:
@@ -209,7 +211,7 @@
         request = SnapshotRequest(bulk.revision, first, count)
         actions.append(SendControl(bulk.peer, request))
         for part in range(first, first + count):
-            bulk.ask_again_at[part] = now + PART_RETRY
+            bulk.part_retry_at[part] = now + PART_RETRY
 
 
 def runs_of(parts: list[int]) -> list[tuple[int, int]]:
@@ -227,16 +229,16 @@
     """Return the parts to ask for now, as many as may be under way."""
     wanted = [part for part in range(bulk.parts or 1) if part not in bulk.received]
     under_way = wanted[:WINDOW]
-    return [part for part in under_way if bulk.ask_again_at.get(part, 0.0) <= now]
+    return [part for part in under_way if bulk.part_retry_at.get(part, 0.0) <= now]
 
 
 def judge_peer(tables: Tables, bulk: BulkRow, now: float) -> None:
     """Turn to another peer if this one is slow or silent."""
     bulk.retry_at = now + PEER_TIME
-    arrived = len(bulk.received) - bulk.judged_at
-    bulk.judged_at = len(bulk.received)
+    arrived = len(bulk.received) - bulk.parts_at_last_check
+    bulk.parts_at_last_check = len(bulk.received)
     if arrived >= PEER_PARTS:
         return
-    bulk.ask_again_at.clear()
+    bulk.part_retry_at.clear()
     for peer in sample(tables.membership.rng, present_hosts(tables), 1):
         bulk.peer = peer
--- a/citronspring/systems/dissemination.py
+++ b/citronspring/systems/dissemination.py
@@ -119,7 +119,7 @@
     if not outranks(update, row):
         return False
     if update.incarnation > row.incarnation:
-        tables.membership.introduced.discard(update.host_id)
+        tables.membership.acknowledged.discard(update.host_id)
     if news and is_news(update, row):
         queue_update(tables, without_known_host(update, row))
     set_state(tables, row, update.state, now)
@@ -165,7 +165,7 @@
             tables.counters["membership.suspected"] += 1
         case HostState.DEAD:
             row.forget_at = now + FORGET_TIME
-            tables.membership.introduced.discard(row.host.host_id)
+            tables.membership.acknowledged.discard(row.host.host_id)
             tables.counters["membership.died"] += 1
 
 
--- a/citronspring/systems/fence.py
+++ b/citronspring/systems/fence.py
@@ -38,12 +38,12 @@
 def check_clock(tables: Tables, now: float, actions: list[Action]) -> None:
     """Raise the fence if the last tick is too long ago."""
     fence = tables.fence
-    if fence.ticked_at is None or now - fence.ticked_at < JUMP:
+    if fence.last_tick_at is None or now - fence.last_tick_at < JUMP:
         return
     tables.counters["fence.raised"] += 1
-    fields: dict[str, object] = {"seconds": round(now - fence.ticked_at, 3)}
+    fields: dict[str, object] = {"seconds": round(now - fence.last_tick_at, 3)}
     actions.append(Log(CLOCK_JUMPED.number, fields))
-    fence.ticked_at = now
+    fence.last_tick_at = now
     fence.until = now + FENCE_TIME
     fence.required = None
     fence.platform_answered = False
@@ -76,7 +76,7 @@
 def run_fence(tables: Tables, now: float, actions: list[Action]) -> None:
     """Ask again, and lower the fence when there is nobody to ask."""
     fence = tables.fence
-    fence.ticked_at = now
+    fence.last_tick_at = now
     if fence.until is None:
         return
     check_reached(tables, actions)
@@ -87,14 +87,14 @@
     elif now >= fence.until:
         tables.counters["fence.expired"] += 1
         lower(tables, "deadline", actions)
-    elif now >= fence.ask_at:
+    elif now >= fence.next_query_at:
         ask_peers(tables, now, actions)
 
 
 def ask_peers(tables: Tables, now: float, actions: list[Action]) -> None:
     """Ask a few peers for their revision."""
     fence = tables.fence
-    fence.ask_at = now + ASK_INTERVAL
+    fence.next_query_at = now + ASK_INTERVAL
     present = present_hosts(tables)
     for peer in sample(tables.membership.rng, present, PEERS_ASKED):
         sequence = tables.membership.next_sequence()
--- a/citronspring/systems/membership.py
+++ b/citronspring/systems/membership.py
@@ -11,7 +11,7 @@
     Ping,
     PingRequest,
 )
-from citronspring.control.tables import ForwardRow, JoinRow, ProbeRow, sample
+from citronspring.control.tables import IndirectPingRow, JoinRow, ProbeRow, sample
 from citronspring.entities import HostState
 from citronspring.messages import SendControl
 from citronspring.systems.dissemination import (
@@ -146,7 +146,7 @@
     """Ping a host; tell it what is said of it, and who is asking."""
     row = tables.hosts[host_id]
     first = [] if row.state is HostState.ALIVE else [describe(row)]
-    if host_id not in tables.membership.introduced:
+    if host_id not in tables.membership.acknowledged:
         first.append(introduction(tables))
     updates = next_updates(tables, *first)
     actions.append(
@@ -176,7 +176,7 @@
     suspected = now >= probe.deadline
     probe.next_at = now + (SUSPECT_INTERVAL if suspected else RETRY_INTERVAL)
     probe.attempts += 1
-    membership.introduced.discard(probe.host_id)
+    membership.acknowledged.discard(probe.host_id)
     send_ping(tables, probe.host_id, sequence, actions)
     if suspected:
         return
@@ -210,7 +210,7 @@
 
 def expire_forwards(tables: Tables, now: float) -> None:
     """Give up pings made for others."""
-    forwards = tables.membership.forwards
+    forwards = tables.membership.indirect_pings
     for sequence in [key for key, row in forwards.items() if row.deadline <= now]:
         del forwards[sequence]
 
@@ -238,8 +238,8 @@
     if probe is not None:
         end_probe(tables, message.sequence, probe)
     if probe is None or probe.host_id == sender:
-        membership.introduced.add(sender)
-    forward = membership.forwards.pop(message.sequence, None)
+        membership.acknowledged.add(sender)
+    forward = membership.indirect_pings.pop(message.sequence, None)
     if forward is not None:
         ack = Ack(forward.sequence, tables.revision)
         actions.append(SendControl(forward.requester, ack))
@@ -263,11 +263,16 @@
 ) -> None:
     """Ping a host for another."""
     membership = tables.membership
-    if message.host_id not in tables.hosts or len(membership.forwards) >= MAX_FORWARDS:
+    if (
+        message.host_id not in tables.hosts
+        or len(membership.indirect_pings) >= MAX_FORWARDS
+    ):
         return
     sequence = membership.next_sequence()
     deadline = now + ANSWER_TIME
-    membership.forwards[sequence] = ForwardRow(sender, message.sequence, deadline)
+    membership.indirect_pings[sequence] = IndirectPingRow(
+        sender, message.sequence, deadline
+    )
     send_ping(tables, message.host_id, sequence, actions)
 
 
@@ -281,7 +286,7 @@
         return
     join.retry_at = now + JOIN_RETRY
     for peer in sample(tables.membership.rng, present_hosts(tables), 1):
-        known = peer in tables.membership.introduced
+        known = peer in tables.membership.acknowledged
         updates = () if known else (introduction(tables),)
         actions.append(SendControl(peer, MembersRequest(join.part, updates)))
 
--- a/citronspring/systems/spread.py
+++ b/citronspring/systems/spread.py
@@ -205,7 +205,7 @@
         row = tables.hosts[sender]
         row.revision = max(row.revision, last)
     accept_records(tables, records, now)
-    if tables.spread.early:
+    if tables.spread.out_of_order:
         ask_for_records(tables, sender, now, actions)
 
 
@@ -237,11 +237,11 @@
     spread = tables.spread
     for record in records:
         if record.revision > tables.revision:
-            spread.early[record.revision] = record
-    while len(spread.early) > EARLY_RECORDS:
-        del spread.early[max(spread.early)]
-    while tables.revision + 1 in spread.early:
-        following = spread.early.pop(tables.revision + 1)
+            spread.out_of_order[record.revision] = record
+    while len(spread.out_of_order) > EARLY_RECORDS:
+        del spread.out_of_order[max(spread.out_of_order)]
+    while tables.revision + 1 in spread.out_of_order:
+        following = spread.out_of_order.pop(tables.revision + 1)
         apply_records(tables, (following,), now)
         remember(tables, following)
 
@@ -265,7 +265,7 @@
     # a peer skip what is missing.
     spread.recent.clear()
     spread.pushes.clear()
-    drop_old(spread.early, tables.revision)
+    drop_old(spread.out_of_order, tables.revision)
     drop_old(spread.pieces, tables.revision)
     accept_records(tables, (), now)
 
--- a/citronspring/tables.py
+++ b/citronspring/tables.py
@@ -10,7 +10,7 @@
 from citronspring.accounted import AccountedRows
 from citronspring.control.tables import (
     FenceRow,
-    HashedSource,
+    HashedRandomSource,
     MembershipTable,
     SpreadTable,
 )
@@ -278,7 +278,7 @@
     #: Wheel buckets before this one have been looked at.
     wheel_position: int = 0
     membership: MembershipTable = field(
-        default_factory=lambda: MembershipTable(HashedSource(0))
+        default_factory=lambda: MembershipTable(HashedRandomSource(0))
     )
     spread: SpreadTable = field(default_factory=SpreadTable)
     fence: FenceRow = field(default_factory=FenceRow)
--- a/tests/test_configuration/stepping.py
+++ b/tests/test_configuration/stepping.py
@@ -5,7 +5,7 @@
 import types
 
 from citronspring.configuration.changes import PutAccount, PutTemplate
-from citronspring.configuration.running import run_in_place
+from citronspring.configuration.runner import run_in_place
 from citronspring.configuration.shards import HEAD, HEAD_KEY, Head, decode
 from citronspring.configuration.store import ConfigurationStore
 from citronspring.errors import CitronspringError
@@ -55,7 +55,7 @@
         await self.platform.delete(key)
 
 
-class Operator:
+class SteppedCall:
     """One call of a store, run step by step."""
 
     def __init__(self, coroutine) -> None:
@@ -83,7 +83,7 @@
             assert not self.done, self.error
             self.step()
 
-    def finish(self) -> Operator:
+    def finish(self) -> SteppedCall:
         """Run to the end."""
         while not self.done:
             self.step()
@@ -92,7 +92,7 @@
 
 def call(coroutine):
     """Run a call to its end; return its result or raise its error."""
-    operator = Operator(coroutine).finish()
+    operator = SteppedCall(coroutine).finish()
     if operator.error is not None:
         raise operator.error
     return operator.result
--- a/tests/test_configuration/test_concurrency.py
+++ b/tests/test_configuration/test_concurrency.py
@@ -29,7 +29,7 @@
 from citronspring.standins.memory import Switches
 from tests.test_configuration.stepping import (
     ZONES,
-    Operator,
+    SteppedCall,
     call,
     head_of,
     make_platform,
@@ -60,7 +60,7 @@
 ]
 
 
-class OperatorsMachine(RuleBasedStateMachine):
+class ConcurrencyMachine(RuleBasedStateMachine):
     """Operators send, repeat and interleave changes; the platform misbehaves.
 
     The model is the list of heads the platform ever held, read straight from
@@ -76,10 +76,10 @@
         prepare_module.RETIRED_KEPT = 2
         self.platform = make_platform()
         self.stores = [make_store(self.platform) for _ in range(PROCESSES)]
-        self.running: list[tuple[Operator, object]] = []
-        self.reading: list[Operator] = []
+        self.running: list[tuple[SteppedCall, object]] = []
+        self.reading: list[SteppedCall] = []
         self.sent: list[object] = []
-        self.told: list[tuple[object, Operator]] = []
+        self.outcomes: list[tuple[object, SteppedCall]] = []
         self.records: list = []
         self.known = [0] * PROCESSES
         #: Revision at which an address last left an account.
@@ -124,7 +124,7 @@
 
     def run_change(self, store, change):
         if len(self.running) < 4:
-            self.running.append((Operator(store.commit(change, 0.0)), change))
+            self.running.append((SteppedCall(store.commit(change, 0.0)), change))
 
     @rule(data=st.data(), steps=st.integers(1, 6))
     def step(self, data, steps):
@@ -138,7 +138,7 @@
             self.advance(operator, change)
         if operator.done:
             del self.running[index]
-            self.told.append((change, operator))
+            self.outcomes.append((change, operator))
 
     @rule(data=st.data(), fault=st.sampled_from(FAULTS))
     def swap(self, data, fault):
@@ -201,7 +201,7 @@
     @rule(process=st.integers(0, PROCESSES - 1))
     def start_slow_read(self, process):
         if len(self.reading) < 2:
-            operator = Operator(self.stores[process].read_snapshot())
+            operator = SteppedCall(self.stores[process].read_snapshot())
             operator.step()
             self.reading.append(operator)
 
@@ -297,17 +297,17 @@
         for operator, change in self.running:
             while not operator.done:
                 self.advance(operator, change)
-            self.told.append((change, operator))
+            self.outcomes.append((change, operator))
         self.no_change_is_lost_under_another()
         committed = {r.change_id: r.revision for r in self.records}
-        for change, operator in self.told:
-            self.check_told(change, operator, committed)
+        for change, operator in self.outcomes:
+            self.check_outcome(change, operator, committed)
         snapshot = call(make_store(self.platform).read_snapshot())
         assert snapshot.accounts == self.accounts_at(snapshot.revision)
         for change in self.sent:
-            self.repeat_until_settled(change)
+            self.check_retry(change)
 
-    def check_told(self, change, operator, committed):
+    def check_outcome(self, change, operator, committed):
         revision = committed.get(change.change_id)
         match operator.error:
             case None:
@@ -318,13 +318,13 @@
             case OutcomeUnknownError():
                 pass
             case _:
-                calls = [o for c, o in self.told if c == change]
+                calls = [o for c, o in self.outcomes if c == change]
                 assert revision is None or len(calls) > 1
 
-    def repeat_until_settled(self, change):
+    def check_retry(self, change):
         """Send a change once more: committed ones keep their revision."""
         committed = {r.change_id: r.revision for r in self.records}
-        operator = Operator(make_store(self.platform).commit(change, 0.0))
+        operator = SteppedCall(make_store(self.platform).commit(change, 0.0))
         while not operator.done:
             self.advance(operator, change)
         assert not isinstance(operator.error, OutcomeUnknownError)
@@ -333,7 +333,7 @@
         self.no_change_is_committed_twice()
 
 
-TestOperators = OperatorsMachine.TestCase
+TestOperators = ConcurrencyMachine.TestCase
 TestOperators.settings = settings(
     derandomize=True,
     deadline=None,
--- a/tests/test_configuration/test_models.py
+++ b/tests/test_configuration/test_models.py
@@ -28,7 +28,7 @@
 FIXED = settings(derandomize=True, deadline=None, max_examples=150, database=None)
 
 
-def refused(change):
+def refusal_text(change):
     with pytest.raises(ConfigurationError) as error:
         call(make_store(make_platform()).commit(change, 0.0))
     assert error.value.remedy
@@ -69,7 +69,7 @@
     ],
 )
 def test_a_refusal_names_key_value_and_remedy(parameters, key, value, remedy):
-    message = refused(put("1-a", **parameters))
+    message = refusal_text(put("1-a", **parameters))
     assert message.startswith("account bundelpers")
     for part in (key, value, remedy):
         assert part in message
@@ -92,7 +92,7 @@
     ],
 )
 def test_a_refused_template_names_key_and_remedy(changes, parts):
-    message = refused(put_template("1-a", **changes))
+    message = refusal_text(put_template("1-a", **changes))
     for part in parts:
         assert part in message
 
@@ -153,11 +153,11 @@
 
 @pytest.mark.parametrize("value", [DEEP, 10**5000], ids=["deep", "long"])
 def test_values_too_deep_or_too_long_to_print_are_refused(value):
-    assert refused(put("1-a", limit=value))
-    assert refused(put("1-a", targets=[{"load": value}]))
-    assert refused(put("1-a", targets=value))
-    assert refused(put_template("1-a", body={"addresses": value}))
-    assert refused(put_template("1-a", name=value))
+    assert refusal_text(put("1-a", limit=value))
+    assert refusal_text(put("1-a", targets=[{"load": value}]))
+    assert refusal_text(put("1-a", targets=value))
+    assert refusal_text(put_template("1-a", body={"addresses": value}))
+    assert refusal_text(put_template("1-a", name=value))
 
 
 @FIXED
--- a/tests/test_configuration/test_moves.py
+++ b/tests/test_configuration/test_moves.py
@@ -17,7 +17,7 @@
 from citronspring.standins.memory import Switches
 from tests.test_configuration.stepping import (
     ZONES,
-    Operator,
+    SteppedCall,
     call,
     make_platform,
     make_store,
@@ -32,7 +32,7 @@
     return make_store(make_platform())
 
 
-def about(kind, change_id, number):
+def target_change(kind, change_id, number):
     return kind(
         change_id=change_id,
         author="anna",
@@ -56,7 +56,7 @@
     them anew would send packets of live flows to other targets.
     """
     call(store.commit(put("1-a", targets=[target(1), target(2)]), 0.0))
-    call(store.commit(about(DrainTarget, "2-b", 1), 0.0))
+    call(store.commit(target_change(DrainTarget, "2-b", 1), 0.0))
     assert revisions(store) == {"t1": (2, 3), "t2": (2, None)}
     call(store.commit(put("3-c", targets=[target(1), target(3)]), 0.0))
     assert revisions(store) == {"t1": (2, 3), "t2": (2, 4), "t3": (4, None)}
@@ -67,7 +67,7 @@
     assert revisions(store) == {"t1": (2, 3), "t2": (2, 4), "t3": (4, None)}
     call(store.commit(put("6-f", targets=[target(1), target(2)]), 1.0))
     assert revisions(store) == {"t1": (2, 3), "t2": (2, None), "t3": (4, 7)}
-    call(store.commit(about(UndrainTarget, "7-g", 1), 1.0))
+    call(store.commit(target_change(UndrainTarget, "7-g", 1), 1.0))
     assert revisions(store) == {"t1": (2, None), "t2": (2, None), "t3": (4, 7)}
 
 
@@ -83,14 +83,14 @@
     assert revisions(store) == {}
 
 
-def test_purge_and_undrain_name_what_to_do(store):
+def test_purge_and_undrain_errors_name_a_remedy(store):
     call(store.commit(put("1-a", targets=[target(1)]), 0.0))
     with pytest.raises(ConfigurationError, match="remove it"):
-        call(store.commit(about(PurgeTarget, "2-b", 1), 0.0))
+        call(store.commit(target_change(PurgeTarget, "2-b", 1), 0.0))
     call(store.commit(put("2-b"), 0.0))
     with pytest.raises(ConfigurationError, match="put it back"):
-        call(store.commit(about(UndrainTarget, "3-c", 1), 0.0))
-    call(store.commit(about(PurgeTarget, "3-c", 1), 0.0))
+        call(store.commit(target_change(UndrainTarget, "3-c", 1), 0.0))
+    call(store.commit(target_change(PurgeTarget, "3-c", 1), 0.0))
     assert revisions(store) == {}
 
 
@@ -146,7 +146,7 @@
         call(store.confirm_zone(zone, 3))
     with pytest.raises(MoveRefusedError, match="belongs to account bundelpers"):
         call(store.commit(wanted, 0.0))
-    call(store.commit(about(PurgeTarget, "3-d", 1), 0.0))
+    call(store.commit(target_change(PurgeTarget, "3-d", 1), 0.0))
     with pytest.raises(MoveRefusedError, match="revision 4"):
         call(store.commit(wanted, 0.0))
     for zone in ZONES:
@@ -154,7 +154,7 @@
     assert call(store.commit(wanted, 0.0)) == Committed(5)
 
 
-def test_the_addresses_of_a_deleted_account_wait_too(store):
+def test_addresses_of_a_deleted_account_need_confirmation(store):
     """An account is deleted and another one takes its address at once.
 
     Lagging hosts still serve the deleted account there, so the move waits. The
@@ -187,14 +187,14 @@
         call(store.commit(wanted, 0.0))
 
 
-def test_two_operators_give_one_address_to_two_accounts():
+def test_concurrent_commits_cannot_give_one_address_to_two_accounts():
     """Both commits are valid on the head they read, and only one can win.
 
     The second is checked again on the new head and refused by name.
     """
     platform = make_platform()
-    anna = Operator(make_store(platform).commit(put("1-a"), 0.0))
-    bram = Operator(make_store(platform).commit(put("1-b", "archivio"), 0.0))
+    anna = SteppedCall(make_store(platform).commit(put("1-a"), 0.0))
+    bram = SteppedCall(make_store(platform).commit(put("1-b", "archivio"), 0.0))
     anna.run_to("put", "head")
     bram.run_to("put", "head")
     assert anna.finish().result == Committed(2)
@@ -209,7 +209,7 @@
         call(store.commit(put_template("3-c", body=body), 0.0))
 
 
-def test_confirmed_addresses_are_forgotten(store, monkeypatch):
+def test_confirmed_releases_are_removed(store, monkeypatch):
     monkeypatch.setattr(store_module, "RELEASES_KEPT", 1)
     for number in range(1, 5):
         call(store.commit(put(f"{number}-a", ip=f"192.0.2.{number}"), 0.0))
@@ -220,7 +220,7 @@
     assert [r.revision for r in call(store.read_catalog()).releases()] == [5, 6]
 
 
-def test_a_zone_never_takes_back_what_it_confirmed():
+def test_zone_confirmation_never_decreases():
     """A host that lags, or reads a stale confirmation, confirms less.
 
     The zone's revision stays. Were it lowered, a move that was allowed would be
--- a/tests/test_configuration/test_reading.py
+++ b/tests/test_configuration/test_reading.py
@@ -13,7 +13,7 @@
 from citronspring.standins.memory import MemoryPlatform, Switches
 from tests.test_configuration.stepping import (
     ZONES,
-    Operator,
+    SteppedCall,
     call,
     head_of,
     make_platform,
@@ -40,7 +40,7 @@
     assert [h.difference for h in entry.history] == [("created",)]
 
 
-def test_a_stale_read_never_lowers_what_a_process_knows():
+def test_stale_read_never_lowers_the_known_revision():
     """A replica of the platform answers with the head before the last commit.
 
     The store keeps the newer one it knows. Taking the old one would put an old
@@ -55,7 +55,7 @@
     assert call(store.read_account("bundelpers")).revision == 2
 
 
-def test_a_head_that_goes_back_is_refused():
+def test_head_with_a_lower_revision_is_refused():
     """The platform is restored from an old copy: newer version, older revision.
 
     The store refuses it and names the remedy. What was accepted stays known.
@@ -70,7 +70,7 @@
     assert store.reader.head.revision == 2
 
 
-def test_a_shard_deleted_under_a_reader(monkeypatch):
+def test_reader_retries_when_a_shard_was_deleted(monkeypatch):
     """A reader holds a head whose shard was replaced and deleted meanwhile.
 
     It reads the head again and returns the newer configuration, instead of one
@@ -81,7 +81,7 @@
     writer = make_store(platform)
     call(writer.commit(put("1-a"), 0.0))
     first = head_of(platform).shards
-    reader = Operator(make_store(platform).read_snapshot())
+    reader = SteppedCall(make_store(platform).read_snapshot())
     reader.step()
     for number in (2, 3, 4):
         call(writer.commit(put(f"{number}-a", limit=number), 0.0))
@@ -91,7 +91,7 @@
     assert len(snapshot.accounts) == 1
 
 
-def test_a_retired_shard_never_comes_into_use_again(monkeypatch):
+def test_retired_shard_digest_is_never_reused(monkeypatch):
     """An account comes and goes, so that its shard holds the same as before.
 
     Under the same digest it would be in use and listed for deletion at once,
@@ -195,7 +195,7 @@
     assert await reader.watch_head(0) == 1
 
 
-def test_a_read_that_ran_out_of_time_is_gone_on_with():
+def test_read_resumes_after_a_timeout():
     """A host starts, and its way to the platform is long: 128 shards take over 2 s.
 
     Each attempt is given up after that time. Were its shards forgotten, the next one
@@ -210,7 +210,7 @@
     store = make_store(platform)
     asked = []
     for _ in range(len(named)):
-        attempt = Operator(store.read_snapshot())
+        attempt = SteppedCall(store.read_snapshot())
         for _ in range(6):
             asked.append(attempt.next_call[1])
             attempt.step()
--- a/tests/test_configuration/test_store.py
+++ b/tests/test_configuration/test_store.py
@@ -24,7 +24,7 @@
 )
 from citronspring.standins.memory import MemoryPlatform, Switches
 from tests.test_configuration.stepping import (
-    Operator,
+    SteppedCall,
     call,
     head_of,
     make_platform,
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("lost", ["lost_answers", "lost_requests"])
-def test_a_lost_swap_is_settled_by_the_change_id(lost):
+def test_lost_swap_is_resolved_by_the_change_id(lost):
     """The swap of the head is lost on its way, or its answer is.
 
     The store sends the same swap again. When the first took effect, the second
@@ -44,7 +44,7 @@
     ordinary commit in both cases, and there is one change, not two.
     """
     platform = make_platform()
-    operator = Operator(make_store(platform).commit(put("1-a"), 0.0))
+    operator = SteppedCall(make_store(platform).commit(put("1-a"), 0.0))
     operator.run_to("put", HEAD_KEY)
     setattr(platform.switches, lost, 1)
     assert operator.finish().result == Committed(2)
@@ -63,7 +63,7 @@
     assert len(call(make_store(platform).read_snapshot()).accounts) == 1
 
 
-def test_an_unsettled_answer_is_told_as_unknown_and_repeated_safely():
+def test_unknown_outcome_is_reported_and_safe_to_retry():
     """The answer to the swap is lost and then the platform is down.
 
     The operator is told that the outcome is unknown, never "nothing changed":
@@ -71,7 +71,7 @@
     its id and not committed a second time.
     """
     platform = make_platform()
-    operator = Operator(make_store(platform).commit(put("1-a"), 0.0))
+    operator = SteppedCall(make_store(platform).commit(put("1-a"), 0.0))
     operator.run_to("put", HEAD_KEY)
     platform.switches.lost_answers = 1
     operator.step()
@@ -91,7 +91,7 @@
     than the one the swap expected does, so the store reads on.
     """
     platform = make_platform()
-    operator = Operator(make_store(platform).commit(put("1-a"), 0.0))
+    operator = SteppedCall(make_store(platform).commit(put("1-a"), 0.0))
     operator.run_to("put", HEAD_KEY)
     platform.switches.lost_answers = 1
     platform.switches.stale_reads = 3
@@ -99,15 +99,15 @@
     assert revision_of(platform) == 2
 
 
-def test_a_late_swap_of_a_repeated_change_finds_another_version():
+def test_concurrent_commits_of_one_change_id_commit_once():
     """Two processes commit one change id at once: the operator was impatient.
 
     Both read the same head. One swap takes effect; the other fails on the
     version and finds the change id in the head it reads then.
     """
     platform = make_platform()
-    first = Operator(make_store(platform).commit(put("1-a"), 0.0))
-    second = Operator(make_store(platform).commit(put("1-a"), 0.0))
+    first = SteppedCall(make_store(platform).commit(put("1-a"), 0.0))
+    second = SteppedCall(make_store(platform).commit(put("1-a"), 0.0))
     first.run_to("put", HEAD_KEY)
     second.run_to("put", HEAD_KEY)
     assert second.finish().result == Committed(2)
@@ -132,7 +132,7 @@
     assert call(store.commit(put("4-3", limit=4), 0.0)) == Committed(5)
 
 
-def test_two_operators_of_one_account():
+def test_concurrent_changes_of_one_account_conflict():
     """Two operators change one account at the same moment.
 
     The first commit wins. The second one's swap fails, and on the new head the
@@ -141,8 +141,8 @@
     """
     platform = make_platform()
     call(make_store(platform).commit(put("1-a", limit=10), 0.0))
-    anna = Operator(make_store(platform).commit(put("2-a", limit=20), 0.0))
-    bram = Operator(
+    anna = SteppedCall(make_store(platform).commit(put("2-a", limit=20), 0.0))
+    bram = SteppedCall(
         make_store(platform).commit(put("2-b", limit=30, author="bram"), 0.0)
     )
     anna.run_to("put", HEAD_KEY)
@@ -157,7 +157,7 @@
     assert account.limits.max_connections == 30
 
 
-def test_an_operator_who_saw_an_older_revision():
+def test_change_based_on_an_older_revision_conflicts():
     """An operator decides on what the account was, and another changed it since.
 
     ``if_revision`` says what was seen. The second commit is refused although
@@ -173,14 +173,14 @@
         call(store.commit(put("2-c", "archivio", if_revision=2), 0.0))
 
 
-def test_an_account_deleted_by_another_operator():
+def test_change_of_a_concurrently_deleted_account_conflicts():
     """One operator deletes the account that another one is changing.
 
     The second is told who deleted it; a silent commit would bring it back.
     """
     platform = make_platform()
     call(make_store(platform).commit(put("1-a"), 0.0))
-    anna = Operator(make_store(platform).commit(put("2-a", limit=20), 0.0))
+    anna = SteppedCall(make_store(platform).commit(put("2-a", limit=20), 0.0))
     anna.run_to("put", HEAD_KEY)
     delete = DeleteAccount(change_id="2-b", author="bram", account_id="bundelpers")
     call(make_store(platform).commit(delete, 0.0))
@@ -197,8 +197,8 @@
     and both are in force. The shard it wrote in vain is listed for deletion.
     """
     platform = make_platform()
-    anna = Operator(make_store(platform).commit(put("1-a"), 0.0))
-    bram = Operator(
+    anna = SteppedCall(make_store(platform).commit(put("1-a"), 0.0))
+    bram = SteppedCall(
         make_store(platform).commit(put("1-b", "archivio", ip="192.0.2.2"), 0.0)
     )
     anna.run_to("put", HEAD_KEY)
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.parametrize("at", [None, ("put", HEAD_KEY)])
-def test_an_outage_is_told_as_not_accepted(at):
+def test_outage_is_reported_as_not_accepted(at):
     """The platform is down before the commit, or goes down before the swap.
 
     The operator is told that nothing changed, and nothing did: the head is the
@@ -222,7 +222,7 @@
     """
     platform = make_platform()
     before = platform.values[HEAD_KEY][-1]
-    operator = Operator(make_store(platform).commit(put("1-a"), 0.0))
+    operator = SteppedCall(make_store(platform).commit(put("1-a"), 0.0))
     if at:
         operator.run_to(*at)
     platform.switches.outage = True
@@ -232,7 +232,7 @@
     assert platform.values[HEAD_KEY][-1] == before
 
 
-def test_platform_that_stays_stale_takes_no_commit():
+def test_commit_fails_while_all_reads_are_stale():
     """Every read is old, so that every swap expects an old version.
 
     The operator is told that nothing changed, instead of waiting for ever.
@@ -289,7 +289,7 @@
     assert revision_of(platform) == 1
 
 
-def test_change_ids_and_zones_are_needed():
+def test_change_ids_and_zones_are_validated():
     assert make_change_id(41, "3f9c") == "41-3f9c"
     with pytest.raises(ConfigurationError):
         make_change_id(41, "no spaces")
@@ -304,7 +304,7 @@
     """
     monkeypatch.setattr(store_module, "REBASE_ATTEMPTS", 2)
     platform = make_platform()
-    anna = Operator(make_store(platform).commit(put("1-a"), 0.0))
+    anna = SteppedCall(make_store(platform).commit(put("1-a"), 0.0))
     for number in (1, 2):
         anna.run_to("put", HEAD_KEY)
         other = put(f"1-{number}", f"other{number}", ip=f"192.0.2.{number + 1}")
@@ -314,7 +314,7 @@
     assert revision_of(platform) == 3
 
 
-def test_changes_are_worked_out_where_the_caller_says():
+def test_changes_are_computed_in_the_given_runner():
     """A template of thousands of accounts is changed on a host that serves.
 
     Working it out takes seconds. In the event loop it would hold up every
@@ -332,7 +332,7 @@
     call(store.commit(put("1-a"), 0.0))
     assert functions == [
         store_module.plan,
-        store_module.find_releases,
+        store_module.find_blocking_releases,
         store_module.prepare,
     ]
     default = ConfigurationStore.from_platform(platform, ["pakhuis"])
@@ -348,7 +348,7 @@
     platform = make_platform()
     call(make_store(platform).commit(put("1-a"), 0.0))
     platform.switches = Switches(stale_reads=1, stale_by=1)
-    late = Operator(make_store(platform).commit(put("1-late"), 0.0))
+    late = SteppedCall(make_store(platform).commit(put("1-late"), 0.0))
     late.run_to("put", HEAD_KEY)
     platform.switches = Switches()
     delete = DeleteAccount(change_id="2-d", author="ben", account_id="bundelpers")
--- a/tests/test_control/test_envelope.py
+++ b/tests/test_control/test_envelope.py
@@ -8,18 +8,18 @@
 
 from citronspring.control.budget import (
     BYTES_PER_SECOND,
-    MAX_WAITING,
+    MAX_QUEUED,
     ControlBudget,
-    Urgency,
+    Priority,
 )
 from citronspring.control.codec import decode, read_message
 from citronspring.control.envelope import (
     HEADER_SIZE,
-    MAX_AGE,
+    MAX_CLOCK_SKEW_MS,
     REPLAY_WINDOW,
     VERSION,
-    Opener,
-    Sealer,
+    DatagramDecoder,
+    DatagramEncoder,
     digest_of,
 )
 from citronspring.control.messages import (
@@ -79,25 +79,27 @@
 ]
 
 
-def make_opener(*keys, receiver="host-0"):
-    return Opener(receiver, keys or (KEY,))
+def make_decoder(*keys, receiver="host-0"):
+    return DatagramDecoder(receiver, keys or (KEY,))
 
 
-def seal(message=Ack(1, 2), key=KEY, now=NOW, boot_time=1, sequence=0):  # noqa: B008
-    return Sealer("host-1", key, boot_time, sequence).seal(message, "host-0", now)
+def make_datagram(message=Ack(1, 2), key=KEY, now=NOW, boot_time=1, sequence=0):  # noqa: B008
+    return DatagramEncoder("host-1", key, boot_time, sequence).encode_datagram(
+        message, "host-0", now
+    )
 
 
-def reason_of(opener, datagram, now=NOW):
-    before = repr(opener.windows)
+def reason_of(decoder, datagram, now=NOW):
+    before = repr(decoder.windows)
     with pytest.raises(ControlMessageError) as caught:
-        opener.open(datagram, now)
-    assert repr(opener.windows) == before
+        decoder.decode_datagram(datagram, now)
+    assert repr(decoder.windows) == before
     return caught.value.reason
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda item: type(item).__name__)
-def test_every_message_comes_back(message):
-    opened = make_opener().open(seal(message), NOW)
+def test_every_message_round_trips(message):
+    opened = make_decoder().decode_datagram(make_datagram(message), NOW)
     assert opened.sender == "host-1"
     assert opened.message == message
 
@@ -109,62 +111,70 @@
     datagram under another key, with a changed byte, or made for another host
     fails the digest, whichever byte it is.
     """
-    datagram = seal()
-    assert reason_of(make_opener(), seal(key=OLD_KEY)) == "forged"
-    assert reason_of(make_opener(receiver="host-9"), datagram) == "forged"
+    datagram = make_datagram()
+    assert reason_of(make_decoder(), make_datagram(key=OLD_KEY)) == "forged"
+    assert reason_of(make_decoder(receiver="host-9"), datagram) == "forged"
     for position in range(len(VERSION), len(datagram)):
         changed = bytearray(datagram)
         changed[position] ^= 1
-        assert reason_of(make_opener(), bytes(changed)) == "forged"
+        assert reason_of(make_decoder(), bytes(changed)) == "forged"
 
 
-def test_replayed_datagram_changes_nothing():
+def test_replayed_datagrams_are_refused():
     """Somebody records genuine datagrams and sends them again.
 
     An old "leaving" sent again would take a serving host out of the ring. Each
     sequence number is taken once; datagrams from before the sender's restart
     and those from too long ago are refused.
     """
-    opener = make_opener()
-    datagrams = [seal(sequence=number) for number in range(5)]
+    decoder = make_decoder()
+    datagrams = [make_datagram(sequence=number) for number in range(5)]
     for number in (0, 3, 1):
-        opener.open(datagrams[number], NOW)
-        assert reason_of(opener, datagrams[number]) == "replayed"
-    opener.open(seal(sequence=REPLAY_WINDOW + 2), NOW)
-    assert reason_of(opener, datagrams[2]) == "replayed"
-    assert opener.open(datagrams[4], NOW)
-    opener.open(seal(boot_time=2), NOW)
-    assert reason_of(opener, seal(sequence=9000)) == "replayed"
-    assert reason_of(opener, seal(boot_time=3), NOW + MAX_AGE + 1) == "clock"
-    opener.open(Sealer("host-2", KEY, 1).seal(Ack(1, 2), "host-0", NOW), NOW)
-    assert len(opener.windows) == 2
-    later = NOW + 2 * MAX_AGE
-    opener.open(Sealer("host-3", KEY, 1).seal(Ack(1, 2), "host-0", later), later)
-    assert list(opener.windows) == ["host-3"]
-
-
-def test_both_keys_are_taken_while_they_are_replaced():
-    opener = make_opener(KEY, OLD_KEY)
-    assert opener.open(seal(sequence=1), NOW)
-    assert opener.open(seal(key=OLD_KEY, sequence=2), NOW)
-    assert reason_of(opener, seal(key=bytes(32))) == "forged"
+        decoder.decode_datagram(datagrams[number], NOW)
+        assert reason_of(decoder, datagrams[number]) == "replayed"
+    decoder.decode_datagram(make_datagram(sequence=REPLAY_WINDOW + 2), NOW)
+    assert reason_of(decoder, datagrams[2]) == "replayed"
+    assert decoder.decode_datagram(datagrams[4], NOW)
+    decoder.decode_datagram(make_datagram(boot_time=2), NOW)
+    assert reason_of(decoder, make_datagram(sequence=9000)) == "replayed"
+    assert (
+        reason_of(decoder, make_datagram(boot_time=3), NOW + MAX_CLOCK_SKEW_MS + 1)
+        == "clock"
+    )
+    decoder.decode_datagram(
+        DatagramEncoder("host-2", KEY, 1).encode_datagram(Ack(1, 2), "host-0", NOW), NOW
+    )
+    assert len(decoder.windows) == 2
+    later = NOW + 2 * MAX_CLOCK_SKEW_MS
+    decoder.decode_datagram(
+        DatagramEncoder("host-3", KEY, 1).encode_datagram(Ack(1, 2), "host-0", later),
+        later,
+    )
+    assert list(decoder.windows) == ["host-3"]
+
+
+def test_both_keys_are_accepted_during_key_rotation():
+    decoder = make_decoder(KEY, OLD_KEY)
+    assert decoder.decode_datagram(make_datagram(sequence=1), NOW)
+    assert decoder.decode_datagram(make_datagram(key=OLD_KEY, sequence=2), NOW)
+    assert reason_of(decoder, make_datagram(key=bytes(32))) == "forged"
 
 
 def test_oversized_and_truncated_datagrams_are_refused():
-    datagram = seal()
-    assert reason_of(make_opener(), datagram + bytes(9000)) == "oversized"
+    datagram = make_datagram()
+    assert reason_of(make_decoder(), datagram + bytes(9000)) == "oversized"
     for length in range(HEADER_SIZE + 1):
-        assert reason_of(make_opener(), datagram[:length]) == "malformed"
+        assert reason_of(make_decoder(), datagram[:length]) == "malformed"
     accounts = tuple(make_account(f"a{number}") for number in range(40))
     with pytest.raises(ControlMessageError):
-        seal(SnapshotPart(1, 0, 1, accounts))
+        make_datagram(SnapshotPart(1, 0, 1, accounts))
 
 
 def parse(body):
     """Read a body that passed the digest; only ControlMessageError may come out."""
     datagram = VERSION + digest_of(KEY, "host-0", body) + body
     try:
-        make_opener().open(datagram, NOW)
+        make_decoder().decode_datagram(datagram, NOW)
         read_message(decode(body).message)
     except ControlMessageError:
         pass
@@ -172,7 +182,7 @@
 
 @settings(max_examples=400, derandomize=True, deadline=None)
 @given(st.binary(max_size=400))
-def test_any_bytes_give_a_message_or_the_typed_error(body):
+def test_any_bytes_give_a_message_or_a_control_message_error(body):
     parse(body)
 
 
@@ -182,14 +192,16 @@
     st.lists(st.tuples(st.integers(0, 2000), st.integers(0, 255)), max_size=6),
     st.integers(0, 2000),
 )
-def test_changed_messages_give_a_message_or_the_typed_error(message, changes, length):
-    body = bytearray(seal(message)[HEADER_SIZE:])
+def test_changed_messages_give_a_message_or_a_control_message_error(
+    message, changes, length
+):
+    body = bytearray(make_datagram(message)[HEADER_SIZE:])
     for position, value in changes:
         body[position % len(body)] = value
     parse(bytes(body[: length or None]))
 
 
-def test_budget_keeps_the_rate_and_sends_the_urgent_first():
+def test_budget_limits_the_rate_and_sends_high_priority_first():
     """An operator changes much at once, while loads are told as ever.
 
     Without classes the loads would fill the budget and the pings wait behind
@@ -199,40 +211,42 @@
     sent = []
     for step in range(400):
         now = step * 0.05
-        budget.offer(Urgency.LOAD, Urgency.LOAD, 400, now)
-        budget.offer(Urgency.REVISION, Urgency.REVISION, 200, now)
+        budget.enqueue(Priority.LOAD, Priority.LOAD, 400, now)
+        budget.enqueue(Priority.CONFIGURATION, Priority.CONFIGURATION, 200, now)
         if step % 10 == 0:
-            budget.offer(Urgency.HEARTBEAT, Urgency.HEARTBEAT, 150, now)
-        sent.extend(budget.release(now))
-    counts = {urgency: sent.count(urgency) for urgency in Urgency}
-    assert counts[Urgency.HEARTBEAT] == 40
-    assert counts[Urgency.REVISION] > 8 * counts[Urgency.LOAD]
-    total = 178 * 40 + 228 * counts[Urgency.REVISION] + 428 * counts[Urgency.LOAD]
+            budget.enqueue(Priority.HEARTBEAT, Priority.HEARTBEAT, 150, now)
+        sent.extend(budget.dequeue(now))
+    counts = {priority: sent.count(priority) for priority in Priority}
+    assert counts[Priority.HEARTBEAT] == 40
+    assert counts[Priority.CONFIGURATION] > 8 * counts[Priority.LOAD]
+    total = (
+        178 * 40 + 228 * counts[Priority.CONFIGURATION] + 428 * counts[Priority.LOAD]
+    )
     assert total <= BYTES_PER_SECOND * (20 + 2)
     assert budget.dropped > 0
 
 
-def test_heartbeats_go_at_once_though_loads_used_up_their_part():
+def test_heartbeats_are_sent_at_once_when_loads_have_used_their_share():
     """Loads fill the budget, and then many hosts ping this one at once.
 
     Answers that wait behind loads come too late for the pings.
     """
     budget = ControlBudget()
     for _ in range(20):
-        budget.offer("load", Urgency.LOAD, 400, 0.0)
-    assert 4 < len(budget.release(0.0)) < 8
+        budget.enqueue("load", Priority.LOAD, 400, 0.0)
+    assert 4 < len(budget.dequeue(0.0)) < 8
     for _ in range(20):
-        budget.offer("ack", Urgency.HEARTBEAT, 100, 0.01)
-    assert budget.release(0.01) == ["ack"] * 20
+        budget.enqueue("ack", Priority.HEARTBEAT, 100, 0.01)
+    assert budget.dequeue(0.01) == ["ack"] * 20
 
 
-def test_budget_drops_the_least_urgent_above_its_bound():
+def test_full_queue_drops_the_lowest_priority():
     budget = ControlBudget()
-    budget.paid_at = 10.0
-    for _ in range(MAX_WAITING):
-        budget.offer("load", Urgency.LOAD, 100, 0.0)
-    budget.offer("revision", Urgency.REVISION, 100, 0.0)
-    assert budget.count() == MAX_WAITING
+    budget.budget_used_until = 10.0
+    for _ in range(MAX_QUEUED):
+        budget.enqueue("load", Priority.LOAD, 100, 0.0)
+    budget.enqueue("revision", Priority.CONFIGURATION, 100, 0.0)
+    assert budget.count() == MAX_QUEUED
     assert budget.dropped == 1
-    assert budget.release(9.0) == []
-    assert budget.dropped == MAX_WAITING + 1
+    assert budget.dequeue(9.0) == []
+    assert budget.dropped == MAX_QUEUED + 1
--- a/tests/test_daemons/test_control.py
+++ b/tests/test_daemons/test_control.py
@@ -9,7 +9,7 @@
 import pytest
 from pydantic import SecretStr
 
-from citronspring.control.envelope import Sealer
+from citronspring.control.envelope import DatagramEncoder
 from citronspring.control.messages import Gossip, HostUpdate
 from citronspring.daemons.control import LOOPBACK_KEY, read_keys, wall_clock
 from citronspring.daemons.host import HostDaemon
@@ -76,10 +76,10 @@
         tables = daemons[0].core.tables
         address = (tables.me.host.control.ip, tables.me.host.control.port)
         leaving = Gossip(1, (HostUpdate("host-1", HostState.LEAVING, 1 << 50),))
-        forged = Sealer("host-1", bytes(range(16)), 1).seal(
+        forged = DatagramEncoder("host-1", bytes(range(16)), 1).encode_datagram(
             leaving, "host-0", wall_clock()
         )
-        genuine = Sealer("host-9", LOOPBACK_KEY, 1).seal(
+        genuine = DatagramEncoder("host-9", LOOPBACK_KEY, 1).encode_datagram(
             Gossip(1), "host-0", wall_clock()
         )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
--- a/tests/test_key_value/test_http.py
+++ b/tests/test_key_value/test_http.py
@@ -64,7 +64,7 @@
         assert await client.get("shard/1") is None
 
 
-async def test_too_large_a_value_over_http():
+async def test_oversized_value_over_http():
     async with client_of(MemoryPlatform()) as client:
         with pytest.raises(ConfigurationError, match="bytes"):
             await client.put("key", bytes(MAX_VALUE_BYTES + 1), ABSENT)
@@ -163,7 +163,7 @@
             await client.put("key", b"3", ABSENT)
 
 
-async def test_a_stop_ends_the_watches(caplog):
+async def test_shutdown_answers_pending_watches(caplog):
     """The service stops while a reader waits in a watch.
 
     The watch is answered at once. A server that waits for it first, and then
@@ -193,7 +193,7 @@
     assert not [record for record in caplog.records if record.levelname == "ERROR"]
 
 
-async def test_versions_rise_over_a_return_from_an_older_copy():
+async def test_versions_increase_after_a_restore_from_backup():
     """A service gives version 2 out twice, for values of two histories."""
     platform = MemoryPlatform()
     async with client_of(platform) as client:
@@ -209,7 +209,7 @@
             await client.put("head", b"late", lost)
 
 
-async def test_watch_hears_at_once_of_a_return_from_an_older_copy():
+async def test_watch_returns_at_once_after_a_restore_from_backup():
     """A watch goes on from a version that the service has not given out any more.
 
     It would wait until the service has come as far again.
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -125,12 +125,12 @@
 @pytest.mark.parametrize(
     "text", ["host = [", b"\xff", "a = " + "[" * 5000, "a = " + "9" * 5000]
 )
-def test_what_is_no_toml_is_told_in_a_line(tmp_path, text):
+def test_invalid_toml_gives_a_one_line_error(tmp_path, text):
     assert "write it as TOML" in error_of(tmp_path, text)
 
 
 @pytest.mark.parametrize("path", ["absent.toml", ".", "nul\0.toml"])
-def test_unreadable_file_is_told(tmp_path, path):
+def test_unreadable_file_gives_an_error(tmp_path, path):
     with pytest.raises(SettingsError):
         Settings.from_toml(tmp_path / path)
 
@@ -154,7 +154,7 @@
 def test_example_settings_are_right(name):
     example = Settings.from_toml(EXAMPLES / f"{name}.toml")
     assert len(example.peers) == 5
-    assert len({host.zone for _, host in example.sections()}) == 3
+    assert len({host.zone for _, host in example.host_sections()}) == 3
 
 
 def test_the_reference_page_names_every_key():
--- a/tests/test_systems/test_membership.py
+++ b/tests/test_systems/test_membership.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from citronspring.control.budget import urgency_of
+from citronspring.control.budget import priority_of
 from citronspring.control.messages import Ack, Gossip, HostUpdate, Ping, Records
 from citronspring.entities import HostState
 from citronspring.messages import (
@@ -113,9 +113,9 @@
 
 def test_pings_go_first_when_the_budget_is_short():
     """News of many hosts waits, and a ping is to be answered in time."""
-    assert urgency_of(Ping(1, 1)) < urgency_of(Gossip(1))
-    assert urgency_of(Ack(1, 1)) < urgency_of(Gossip(1))
-    assert urgency_of(Records(())) < urgency_of(Gossip(1))
+    assert priority_of(Ping(1, 1)) < priority_of(Gossip(1))
+    assert priority_of(Ack(1, 1)) < priority_of(Gossip(1))
+    assert priority_of(Records(())) < priority_of(Gossip(1))
 
 
 def test_suspected_host_refutes_under_a_new_incarnation():
--- a/tests/test_systems/test_spread.py
+++ b/tests/test_systems/test_spread.py
@@ -179,7 +179,7 @@
     assert core.tables.revision == 5
     assert core.tables.accounts["bundelpers"].account == before
     assert core.tables.spread.bulk is None
-    assert not core.tables.spread.early
+    assert not core.tables.spread.out_of_order
 
 
 def test_copy_never_mixes_two_revisions():
