--- a/benchmarks/balance.py
+++ b/benchmarks/balance.py
@@ -84,7 +84,7 @@
     def owner_of(self, flow: FlowKey) -> Balancer:
         """Return the core that decides on a flow."""
         some = next(iter(self.cores.values()))
-        return self.cores[str(some.tables.ring.pair(flow)[0])]
+        return self.cores[str(some.tables.owners.owner_and_backup(flow)[0])]
 
     def open_one(self) -> None:
         """Open one more flow."""
--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -20,7 +20,7 @@
     Stopped,
 )
 from citronspring.rendezvous import score, service_key_of
-from citronspring.systems.ownership import renew_ring
+from citronspring.systems.ownership import update_owners
 from citronspring.systems.revisions import apply_snapshot
 from citronspring.tables import HostRow, Tables
 
@@ -55,7 +55,7 @@
         tables = Tables(host.host_id, host.zone, host.group, MAX_FLOWS)
         for member in (host, *peers):
             tables.hosts[member.host_id] = HostRow(member)
-        renew_ring(tables, 0.0)
+        update_owners(tables, 0.0)
         return cls(tables)
 
     def receive(self, event: Event, now: float) -> list[Action]:
@@ -102,7 +102,7 @@
     def tick(self, now: float) -> list[Action]:
         """Follow the membership view; stop when leaving and quiet."""
         tables = self.tables
-        renew_ring(tables, now)
+        update_owners(tables, now)
         if tables.leave_deadline is None:
             return []
         quiet = now - tables.last_packet_at >= QUIET_TIME
@@ -126,7 +126,7 @@
         """Relay a packet to the owner of its flow."""
         if not packet.from_caller:
             return [SendToCaller(packet)]
-        owner = self.tables.ring.pair(packet.flow)[0]
+        owner = self.tables.owners.owner_and_backup(packet.flow)[0]
         if owner is None or owner == self.tables.host_id:
             return self.decide(packet, source)
         return [Relay(RelayKind.TO_OWNER, owner, packet.flow, packet, source)]
--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -22,7 +22,7 @@
 from benchmarks.world import make_host
 from citronspring.balancer import Balancer
 from citronspring.flags import ACK, SYN
-from citronspring.systems.binding import forget
+from citronspring.systems.binding import remove_flow
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -57,7 +57,7 @@
     number = start
     while len(flows) < count:
         flow = numbered_flow(number)
-        if core.tables.ring.pair(flow)[0] == core.tables.host_id:
+        if core.tables.owners.owner_and_backup(flow)[0] == core.tables.host_id:
             flows.append(flow)
         number += 1
     return flows
@@ -106,7 +106,7 @@
             times.setdefault(name, []).append(time_packets(receive, events, now))
         assert len(core.tables.openings) == PACKETS
         for flow in fresh:
-            forget(core.tables, flow)
+            remove_flow(core.tables, flow)
         now += 2 * PACKETS * OPENING_GAP
     return {name: statistics.median(values) for name, values in times.items()}
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -34,8 +34,8 @@
 from citronspring.rendezvous import flow_key
 from citronspring.systems.expiry import expire_flows
 from citronspring.systems.health import request_probes
-from citronspring.systems.idle import put_idle_to_sleep
-from citronspring.systems.loads import tell_loads
+from citronspring.systems.idle import deactivate_idle_accounts
+from citronspring.systems.loads import send_loads
 from citronspring.systems.openings import expire_openings
 
 if TYPE_CHECKING:
@@ -138,10 +138,10 @@
             expire_openings(core.tables, self.now, actions)
             request_probes(core.tables, self.now, actions)
             if self.telling:
-                tell_loads(core.tables, self.now, actions)
+                send_loads(core.tables, self.now, actions)
             if late:
                 expire_flows(core.tables, self.now)
-                put_idle_to_sleep(core.tables, self.now)
+                deactivate_idle_accounts(core.tables, self.now)
             self.perform(host_id, actions)
 
     def open(self, address: str) -> None:
@@ -151,7 +151,7 @@
         flow = flow_key(6, address, 443, caller, 1024 + (number >> 22))
         self.asked[address] += 1
         self.addresses[flow] = address
-        owner = next(iter(self.cores.values())).tables.ring.pair(flow)[0]
+        owner = next(iter(self.cores.values())).tables.owners.owner_and_backup(flow)[0]
         assert owner is not None
         self.give(owner, Packet(flow, True, SYN, CALLER_SEQ, 0, 0, b""))
 
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -169,7 +169,7 @@
         record = ChangeRecord(self.revision, change_id, account.account_id, account)
         self.records[self.revision] = record
         for host_id, core in self.network.hosts.items():
-            if core.tables.spread.is_reader:
+            if core.tables.replication.is_reader:
                 # The watch answers, the head is read, the next watch waits, and
                 # the zone's confirmation is read and written.
                 self.calls[host_id] += 4
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -137,7 +137,9 @@
     fleet.network.after(0.0, fleet.commit)
     fleet.network.after(CHANGE_INTERVAL, fleet.commit)
     changing = fleet.bytes_during(CHANGING_TIME)
-    readers = sum(core.tables.spread.is_reader for core in fleet.network.hosts.values())
+    readers = sum(
+        core.tables.replication.is_reader for core in fleet.network.hosts.values()
+    )
     calls = fleet.calls.total() / CHANGING_TIME + readers / WATCH_TIME
     return [
         figure(f"control bytes, idle, {job.label}", idle.busiest, "B/s", BYTES_BOUND),
--- a/citronspring/admin/operations.py
+++ b/citronspring/admin/operations.py
@@ -29,7 +29,7 @@
     TOKEN_REFUSED,
 )
 from citronspring.logs import log
-from citronspring.tables import PacedLimit
+from citronspring.tables import GcraLimiter
 
 if TYPE_CHECKING:
     from starlette.requests import Request
@@ -53,7 +53,7 @@
     callers: Callers
     #: Seconds since the epoch, for what the configuration keeps.
     wall_clock: Callable[[], float] = time.time
-    refusals: PacedLimit = field(default_factory=PacedLimit)
+    refusals: GcraLimiter = field(default_factory=GcraLimiter)
 
 
 @dataclass(slots=True)
--- a/citronspring/admin/tokens.py
+++ b/citronspring/admin/tokens.py
@@ -12,7 +12,7 @@
 
 from citronspring.admin.errors import RateLimitedError, UnauthorizedError
 from citronspring.errors import SettingsError
-from citronspring.tables import PacedLimit
+from citronspring.tables import GcraLimiter
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -44,7 +44,7 @@
     role: Role
     #: SHA-256 of the token; empty where none is needed.
     digest: bytes = field(default=b"", repr=False)
-    limit: PacedLimit = field(default_factory=PacedLimit)
+    limit: GcraLimiter = field(default_factory=GcraLimiter)
 
 
 @dataclass(slots=True)
--- a/citronspring/balancer.py
+++ b/citronspring/balancer.py
@@ -17,30 +17,34 @@
     SnapshotRead,
     TargetUnreachable,
 )
-from citronspring.systems.bulk import run_bulk
 from citronspring.systems.control import receive_control
 from citronspring.systems.drain import check_leaving, request_leave
 from citronspring.systems.expiry import expire_flows, expire_hints
 from citronspring.systems.fence import (
-    JUMP,
+    CLOCK_JUMP,
     check_clock,
     drop_fenced,
-    hear_platform,
+    note_platform_answer,
     run_fence,
 )
+from citronspring.systems.flow_search import expire_searches
 from citronspring.systems.health import (
+    record_probe_result,
+    record_unreachable,
     request_probes,
-    take_probe_result,
-    target_unreachable,
 )
-from citronspring.systems.idle import put_idle_to_sleep
-from citronspring.systems.loads import tell_loads
-from citronspring.systems.membership import run_membership, take_host_list
+from citronspring.systems.idle import deactivate_idle_accounts
+from citronspring.systems.loads import send_loads
+from citronspring.systems.membership import apply_host_list, run_membership
 from citronspring.systems.openings import expire_openings
-from citronspring.systems.ownership import renew_ring
+from citronspring.systems.ownership import update_owners
+from citronspring.systems.replication import (
+    accept_records,
+    accept_snapshot,
+    run_replication,
+)
 from citronspring.systems.routing import receive_packet, receive_relay
-from citronspring.systems.second_chance import expire_walks
-from citronspring.systems.spread import accept_records, accept_snapshot, run_spread
+from citronspring.systems.snapshot_transfer import run_transfer
 from citronspring.tables import HostRow, Tables
 
 if TYPE_CHECKING:
@@ -103,7 +107,7 @@
         for member in (host, *seeds.values()):
             tables.hosts[member.host_id] = HostRow(member, HostState.ALIVE)
         tables.me.incarnation = incarnation
-        renew_ring(tables, 0.0)
+        update_owners(tables, 0.0)
         return cls(tables)
 
     def receive(self, event: Event, now: float) -> list[Action]:
@@ -124,7 +128,7 @@
         actions: list[Action] = []
         tables = self.tables
         last_tick_at = tables.fence.last_tick_at
-        if last_tick_at is not None and now - last_tick_at >= JUMP:
+        if last_tick_at is not None and now - last_tick_at >= CLOCK_JUMP:
             check_clock(tables, now, actions)
         if tables.fence.until is not None and isinstance(event, PACKET_EVENTS):
             drop_fenced(tables, actions)
@@ -140,16 +144,16 @@
                 receive_control(tables, event, now, actions)
             case SnapshotRead():
                 accept_snapshot(tables, event.snapshot, now)
-                hear_platform(tables, event.asked_at)
+                note_platform_answer(tables, event.asked_at)
             case RecordsRead():
                 accept_records(tables, event.records, now)
-                hear_platform(tables, event.asked_at)
+                note_platform_answer(tables, event.asked_at)
             case ProbeResult():
-                take_probe_result(tables, event, now)
+                record_probe_result(tables, event, now)
             case TargetUnreachable():
-                target_unreachable(tables, event.target_id, now)
+                record_unreachable(tables, event.target_id, now)
             case HostListRead():
-                take_host_list(tables, event, now)
+                apply_host_list(tables, event, now)
             case LeaveRequested():
                 request_leave(tables, event.deadline, now)
         return actions
@@ -161,16 +165,16 @@
         check_clock(tables, now, actions)
         run_fence(tables, now, actions)
         run_membership(tables, now, actions)
-        run_spread(tables, now, actions)
-        run_bulk(tables, now, actions)
-        renew_ring(tables, now)
+        run_replication(tables, now, actions)
+        run_transfer(tables, now, actions)
+        update_owners(tables, now)
         expire_openings(tables, now, actions)
-        expire_walks(tables, now, actions)
+        expire_searches(tables, now, actions)
         expire_flows(tables, now)
         expire_hints(tables, now)
-        put_idle_to_sleep(tables, now)
+        deactivate_idle_accounts(tables, now)
         request_probes(tables, now, actions)
-        tell_loads(tables, now, actions)
+        send_loads(tables, now, actions)
         check_leaving(tables, now, actions)
         return actions
 
@@ -184,7 +188,7 @@
             "revision": tables.revision,
             "leaving": tables.leave_deadline is not None,
             "fenced_until": tables.fence.until,
-            "reader": tables.spread.is_reader,
+            "reader": tables.replication.is_reader,
             "hosts": {
                 host_id: {
                     "state": row.state.value,
@@ -214,7 +218,7 @@
             },
             "flows": len(tables.flows.rows),
             "openings": len(tables.openings),
-            "walks": len(tables.walks),
+            "walks": len(tables.searches),
             "hints": len(tables.hints),
             "counters": dict(sorted(tables.counters.items())),
         }
--- a/citronspring/daemons/reader.py
+++ b/citronspring/daemons/reader.py
@@ -112,7 +112,7 @@
     async def watch(self) -> None:
         """While this host is a reader, ask for reads as soon as there is news."""
         while True:
-            if not self.core.tables.spread.is_reader:
+            if not self.core.tables.replication.is_reader:
                 await anyio.sleep(LOOK_INTERVAL)
                 continue
             await self.wait_for_retry()
@@ -124,7 +124,7 @@
             await anyio.sleep(LOOK_INTERVAL)
             revision = zone_revision(self.core.tables)
             due = self.confirmation_is_due(revision)
-            if self.core.tables.spread.is_reader and due:
+            if self.core.tables.replication.is_reader and due:
                 await self.wait_for_retry()
                 await self.attempt(self.confirm_once)
 
--- a/citronspring/experiments/run.py
+++ b/citronspring/experiments/run.py
@@ -293,7 +293,9 @@
     def watch_head(self, host_id: str, core: Balancer) -> None:
         """Answer a reader's watch once the head of the configuration changed."""
         version = self.platform.current_version(HEAD_KEY)
-        if not core.tables.spread.is_reader or version == self.watched.get(host_id):
+        if not core.tables.replication.is_reader or version == self.watched.get(
+            host_id
+        ):
             return
         reachable = self.network.connected(host_id, PLATFORM)
         if host_id in self.network.frozen:
@@ -307,7 +309,7 @@
         tables = core.tables
         revision = zone_revision(tables)
         reachable = self.network.connected(host_id, PLATFORM)
-        if not tables.spread.is_reader or host_id in self.network.frozen:
+        if not tables.replication.is_reader or host_id in self.network.frozen:
             return
         if reachable and revision > self.confirmed.get(host_id, 0):
             self.confirmed[host_id] = revision
--- a/citronspring/load_rows.py
+++ b/citronspring/load_rows.py
@@ -10,17 +10,17 @@
 
 
 @dataclass(slots=True)
-class PacedLimit:
+class GcraLimiter:
     """A rate limit that stores the time at which it is next exhausted (GCRA)."""
 
     #: Theoretical arrival time: when the events so far would be paid off.
-    paid_at: float = 0.0
+    arrival_at: float = 0.0
 
     def admit(self, now: float, per_second: float, burst: float) -> bool:
         """Count one event if it is within rate and burst; return whether it is."""
         if now < self.retry_at(per_second, burst):
             return False
-        self.paid_at = max(self.paid_at, now) + 1.0 / per_second
+        self.arrival_at = max(self.arrival_at, now) + 1.0 / per_second
         return True
 
     def retry_at(self, per_second: float, burst: float) -> float:
@@ -29,33 +29,33 @@
         `admit` compares with this very number: worked out in two ways, rounding
         would refuse a caller who comes back just when told to.
         """
-        return self.paid_at - burst / per_second
+        return self.arrival_at - burst / per_second
 
 
 @dataclass(slots=True, frozen=True)
-class PeerUse:
+class PeerUsage:
     """Flows of a client account that a peer promised to stay within, or holds."""
 
     open_flows: int
-    heard_at: float
+    received_at: float
 
 
 @dataclass(slots=True)
-class Lending:
+class QuotaLending:
     """What owners leave each other of a client account's connections."""
 
     #: Promises of peers by host id.
-    uses: dict[str, PeerUse] = field(default_factory=dict)
+    peer_usage: dict[str, PeerUsage] = field(default_factory=dict)
     #: What this host last promised to stay within.
-    promised: int = 0
+    announced_cap: int = 0
     #: When that promise runs out; 0.0 if there never was one.
-    promised_until: float = 0.0
+    cap_expires_at: float = 0.0
     #: Until this time peers need what this host leaves unused.
-    pressed_until: float = 0.0
+    contended_until: float = 0.0
 
 
 @dataclass(slots=True)
-class ProbeNote:
+class ProberReport:
     """What one prober last said of a target."""
 
     healthy: bool
@@ -66,7 +66,7 @@
     #: The note counts for nothing from this time.
     deadline: float
     #: Results in a row that contradict ``healthy``, at the prober itself.
-    contrary: int = 0
+    contrary_results: int = 0
 
 
 @dataclass(slots=True)
@@ -84,17 +84,17 @@
     #: No further trial flow before this time.
     trial_until: float = 0.0
     #: From this time its earlier ejections no longer lengthen the next one.
-    forgiven_at: float = 0.0
+    ejections_reset_at: float = 0.0
     #: When it last answered an opening.
     answered_at: float = -1.0
     #: What probers said, by host id; None while nobody did.
-    notes: dict[str, ProbeNote] | None = None
+    prober_reports: dict[str, ProberReport] | None = None
 
 
 #: The state of every target that nothing is known of; never changed. Accounts are
 #: idle for the most part, and a state for each of their targets would cost more
 #: than the rest of their rows.
-SOUND = HealthState()
+UNKNOWN_HEALTH = HealthState()
 
 
 @dataclass(slots=True, frozen=True)
@@ -108,11 +108,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ToldLoad:
+class SentLoad:
     """What a peer was last told of a target."""
 
     flows: int
-    told_at: float
+    sent_at: float
 
 
 @dataclass(slots=True)
@@ -122,14 +122,14 @@
     #: Counts by peer and target id.
     counts: dict[str, dict[str, RemoteCount]] = field(default_factory=dict)
     #: By peer, until when it counts as known.
-    heard_until: dict[str, float] = field(default_factory=dict)
+    valid_until: dict[str, float] = field(default_factory=dict)
     #: Entries by peer and target id.
-    told: dict[str, dict[str, ToldLoad]] = field(default_factory=dict)
+    last_sent: dict[str, dict[str, SentLoad]] = field(default_factory=dict)
     #: When the next peer is told.
-    tell_at: float = 0.0
+    next_send_at: float = 0.0
     #: Messages so far; says whose turn it is.
-    turn: int = 0
+    messages_sent: int = 0
     #: How much what peers told counts in placement, 0.0 to 1.0.
     weight: float = 0.0
     #: Version of the ring that the peers were last compared with.
-    ring_version: int = 0
+    owners_version: int = 0
--- a/citronspring/messages.py
+++ b/citronspring/messages.py
@@ -41,7 +41,7 @@
     #: From the owner to the second-ranked host: confirm and forward.
     PROPOSE = 2
     #: From the owner to the second-ranked host: forward if the flow is known.
-    ASK = 3
+    QUERY = 3
     #: Back to the owner: the second-ranked host does not know the flow.
     UNKNOWN = 4
     #: The named flow is bound to the named target; carries no packet.
@@ -174,7 +174,7 @@
     STALE_ANSWER = "stale-answer"
     SWALLOWED_RESET = "swallowed-reset"
     UNCERTAIN = "uncertain"
-    WALK_FULL = "walk-full"
+    SEARCH_FULL = "walk-full"
     NO_OWNER = "no-owner"
     FENCED = "fenced"
 
--- a/citronspring/metrics.py
+++ b/citronspring/metrics.py
@@ -196,7 +196,7 @@
         )
         rows.add_metric(["flows"], len(tables.flows.rows))
         rows.add_metric(["openings"], len(tables.openings))
-        rows.add_metric(["walks"], len(tables.walks))
+        rows.add_metric(["walks"], len(tables.searches))
         rows.add_metric(["hints"], len(tables.hints))
         yield rows
         yield GaugeMetricFamily(
--- a/citronspring/rendezvous.py
+++ b/citronspring/rendezvous.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True)
-class OwnerRing:
+class OwnerTable:
     """Owner and second-ranked host of every flow, for one membership view."""
 
     #: Host ids that may own flows, sorted, so that equal views are equal rings.
@@ -77,7 +77,7 @@
     version: int = 0
     slots: dict[int, tuple[str | None, str | None]] = field(default_factory=dict)
 
-    def pair(self, flow: FlowKey) -> tuple[str | None, str | None]:
+    def owner_and_backup(self, flow: FlowKey) -> tuple[str | None, str | None]:
         """Return the owner of a flow and the host that would own it next."""
         slot = xxh64_intdigest(flow) % OWNER_SLOTS
         pair = self.slots.get(slot)
--- a/citronspring/systems/answers.py
+++ b/citronspring/systems/answers.py
@@ -9,21 +9,21 @@
 from citronspring.systems.binding import (
     FIN_FROM_TARGET,
     TCP,
-    bind_found,
+    bind_learned,
     close,
-    doubt,
     idle_deadline,
+    mark_contradicted,
     note_fin,
     promote,
 )
-from citronspring.systems.health import note_answer
-from citronspring.systems.openings import datagram_refused, target_reset_opening
-from citronspring.systems.second_chance import (
+from citronspring.systems.flow_search import (
     CONFIRM_WINDOW,
     SEQUENCE_MASK,
-    answer_during_walk,
-    near,
+    answer_during_search,
+    within_window,
 )
+from citronspring.systems.health import note_answer
+from citronspring.systems.openings import handle_datagram_refused, handle_opening_reset
 from citronspring.tables import FlowState
 
 if TYPE_CHECKING:
@@ -31,10 +31,10 @@
     from citronspring.tables import FlowRow, Tables, TargetRow
 
 #: States of a TCP flow whose target is known by hearsay.
-HEARSAY_STATES = (FlowState.BACKUP, FlowState.UNPROVEN, FlowState.DOUBTED)
+UNVERIFIED_STATES = (FlowState.BACKUP, FlowState.UNVERIFIED, FlowState.CONTRADICTED)
 
 
-def take_answer(
+def receive_answer(
     tables: Tables,
     row: FlowRow | None,
     source: TargetRow,
@@ -52,11 +52,11 @@
     elif row.state == FlowState.OPENING:
         answer_opening(tables, row, packet, now, actions)
     elif row.state == FlowState.ANSWERED:
-        answer_answered(tables, row, packet, now, actions)
+        answer_before_confirmation(tables, row, packet, now, actions)
     elif row.state == FlowState.CLOSING:
         actions.append(SendToCaller(packet))
     else:
-        answer_by_hearsay(tables, row, packet, now, actions)
+        answer_unverified(tables, row, packet, now, actions)
 
 
 def answer_established(
@@ -81,10 +81,10 @@
         row.state = FlowState.ESTABLISHED
         answer_established(tables, row, packet, now, actions)
     elif packet.unreachable:
-        datagram_refused(tables, row, packet, now, actions)
+        handle_datagram_refused(tables, row, packet, now, actions)
     elif packet.flags & RST:
         if packet.ack == (opening.packet.seq + 1) & SEQUENCE_MASK:
-            target_reset_opening(tables, flow, row, now, actions)
+            handle_opening_reset(tables, flow, row, now, actions)
         else:
             # Not of this SYN but of a packet that belongs to another target.
             actions.append(Drop(DropReason.SWALLOWED_RESET))
@@ -104,7 +104,7 @@
         actions.append(SendToCaller(packet))
 
 
-def answer_answered(
+def answer_before_confirmation(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
     """Handle a further answer before the caller has confirmed the first.
@@ -114,7 +114,7 @@
     caller would take it for the end of that connection.
     """
     opening = tables.openings.get(packet.flow)
-    foreign = opening is not None and not near(
+    foreign = opening is not None and not within_window(
         packet.seq, (opening.answer_seq or 0) + 1, CONFIRM_WINDOW
     )
     if packet.flags & RST and foreign:
@@ -125,7 +125,7 @@
     actions.append(SendToCaller(packet))
 
 
-def answer_by_hearsay(
+def answer_unverified(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
     """Handle an answer of the target that a flow is on by another's word.
@@ -134,17 +134,17 @@
     next packet then searches every target, which settles what is true.
     """
     if packet.flags & RST:
-        doubt(row)
+        mark_contradicted(row)
         actions.append(Drop(DropReason.SWALLOWED_RESET))
         return
     if row.state == FlowState.BACKUP:
         promote(tables, packet.flow, row)
-    if row.state == FlowState.UNPROVEN and proves(packet):
+    if row.state == FlowState.UNVERIFIED and proves_connection(packet):
         row.state = FlowState.ESTABLISHED
     answer_established(tables, row, packet, now, actions)
 
 
-def proves(packet: Packet) -> bool:
+def proves_connection(packet: Packet) -> bool:
     """Whether only the holder of a flow sends such an answer.
 
     A target in TIME-WAIT of an earlier flow of the tuple sends acknowledgements, and
@@ -162,11 +162,11 @@
     actions: list[Action],
 ) -> None:
     """Drop a late answer; but data belies a binding that is only hearsay."""
-    belied = packet.flow[0] == TCP and row.state in HEARSAY_STATES
-    if not belied or not proves(packet):
+    belied = packet.flow[0] == TCP and row.state in UNVERIFIED_STATES
+    if not belied or not proves_connection(packet):
         actions.append(Drop(DropReason.STALE_ANSWER))
         return
-    bind_found(tables, packet.flow, source, now)
+    bind_learned(tables, packet.flow, source, now)
     actions.append(SendToCaller(packet))
 
 
@@ -178,9 +178,9 @@
     actions: list[Action],
 ) -> None:
     """Learn from an answer where a flow lives that this owner does not know."""
-    walk = tables.walks.get(packet.flow)
-    if walk is not None:
-        answer_during_walk(tables, walk, source, packet, now, actions)
+    search = tables.searches.get(packet.flow)
+    if search is not None:
+        answer_during_search(tables, search, source, packet, now, actions)
     elif packet.flags & RST:
         # It may answer a walk that ended.
         actions.append(Drop(DropReason.SWALLOWED_RESET))
@@ -198,10 +198,10 @@
     if len(tables.flows.rows) >= tables.max_flows:
         return
     flow = packet.flow
-    row = bind_found(tables, flow, source, now)
+    row = bind_learned(tables, flow, source, now)
     if packet.flags & SYN:
         # An opening that another host placed; the caller may never confirm it.
         row.deadline = now + source.account.account.limits.opening_timeout
         tables.flows.schedule(flow, row, now)
-    elif row.state == FlowState.UNPROVEN and proves(packet):
+    elif row.state == FlowState.UNVERIFIED and proves_connection(packet):
         row.state = FlowState.ESTABLISHED
--- a/citronspring/systems/control.py
+++ b/citronspring/systems/control.py
@@ -17,10 +17,9 @@
     SnapshotPart,
     SnapshotRequest,
 )
-from citronspring.systems.bulk import offer_bulk, receive_part
-from citronspring.systems.dissemination import take_updates
-from citronspring.systems.fence import check_reached, hear_revision
-from citronspring.systems.loads import take_loads
+from citronspring.systems.dissemination import apply_updates
+from citronspring.systems.fence import lower_fence_if_current, note_answered_revision
+from citronspring.systems.loads import receive_loads
 from citronspring.systems.membership import (
     receive_ack,
     receive_members,
@@ -28,12 +27,16 @@
     receive_ping,
     receive_ping_request,
 )
-from citronspring.systems.spread import (
+from citronspring.systems.replication import (
     accept_snapshot,
-    hear_of_revision,
+    note_peer_revision,
     receive_records,
     receive_records_request,
 )
+from citronspring.systems.snapshot_transfer import (
+    receive_snapshot_part,
+    send_snapshot_parts,
+)
 
 if TYPE_CHECKING:
     from citronspring.messages import Action, ControlReceived
@@ -47,9 +50,9 @@
     message, sender = event.message, event.sender
     match message:
         case Ping() | Ack() | PingRequest() | Gossip() | MembersRequest():
-            take_updates(tables, message.updates, now)
+            apply_updates(tables, message.updates, now)
     if isinstance(message, Ping):
-        take_updates(tables, message.members, now, news=False)
+        apply_updates(tables, message.members, now, news=False)
     if sender not in tables.hosts or sender == tables.host_id:
         # There is no address to answer to; a host in doubt introduces itself.
         tables.counters["control.unknown-sender"] += 1
@@ -57,9 +60,9 @@
     tables.membership.heard_at = now
     match message:
         case Ping() | Ack() | PingRequest() | Gossip():
-            hear_of_revision(tables, sender, message.revision, now, actions)
+            note_peer_revision(tables, sender, message.revision, now, actions)
     dispatch(tables, sender, message, now, actions)
-    check_reached(tables, actions)
+    lower_fence_if_current(tables, actions)
 
 
 def dispatch(
@@ -71,7 +74,7 @@
             receive_ping(tables, sender, message, actions)
         case Ack():
             receive_ack(tables, sender, message, actions)
-            hear_revision(tables, message.sequence, message.revision)
+            note_answered_revision(tables, message.sequence, message.revision)
         case PingRequest():
             receive_ping_request(tables, sender, message, now, actions)
         case MembersRequest():
@@ -79,14 +82,14 @@
         case Members():
             receive_members(tables, message, now)
         case Loads():
-            take_loads(tables, sender, message, now)
+            receive_loads(tables, sender, message, now)
         case Records():
             receive_records(tables, sender, message, now, actions)
         case RecordsRequest():
             receive_records_request(tables, sender, message, now, actions)
         case SnapshotRequest():
-            offer_bulk(tables, sender, message, now, actions)
+            send_snapshot_parts(tables, sender, message, now, actions)
         case SnapshotPart():
-            snapshot = receive_part(tables, sender, message, now)
+            snapshot = receive_snapshot_part(tables, sender, message, now)
             if snapshot is not None:
                 accept_snapshot(tables, snapshot, now)
--- a/citronspring/systems/dissemination.py
+++ b/citronspring/systems/dissemination.py
@@ -16,7 +16,7 @@
     from citronspring.tables import Tables
 
 #: Of two pieces of news under one incarnation the higher counts.
-RANKS = {
+STATE_PRECEDENCE = {
     HostState.ALIVE: 0,
     HostState.SUSPECT: 1,
     HostState.LEAVING: 2,
@@ -24,14 +24,14 @@
 }
 
 #: States of hosts that take part.
-PRESENT = (HostState.ALIVE, HostState.SUSPECT, HostState.LEAVING)
+PRESENT_STATES = (HostState.ALIVE, HostState.SUSPECT, HostState.LEAVING)
 
 #: Seconds a suspect has to refute before it is held dead.
-SUSPECT_TIME = 1.5
+SUSPICION_TIMEOUT = 1.5
 
 #: Seconds after which a dead host is forgotten. Until then it is pinged now and
 #: then, so that the two sides of a healed partition find each other.
-FORGET_TIME = 900.0
+DEAD_HOST_RETENTION = 900.0
 
 #: Weight of the news in one message, and in an answer. An answer that is kept
 #: back by its size, or its host's budget, gets the host suspected.
@@ -50,7 +50,7 @@
 #: Hosts it goes to in a round; one is enough while there is much news, since all
 #: have something to tell then, and two would take half of the budget.
 GOSSIP_FANOUT = 2
-MUCH_NEWS = 24
+UPDATE_BACKLOG = 24
 
 
 def present_hosts(tables: Tables) -> list[str]:
@@ -58,18 +58,18 @@
     return [
         host_id
         for host_id, row in tables.hosts.items()
-        if row.state in PRESENT and host_id != tables.host_id
+        if row.state in PRESENT_STATES and host_id != tables.host_id
     ]
 
 
-def outranks(update: HostUpdate, row: HostRow) -> bool:
+def supersedes(update: HostUpdate, row: HostRow) -> bool:
     """Whether news is newer than what is known of a host."""
     if update.incarnation != row.incarnation:
         return update.incarnation > row.incarnation
-    return RANKS[update.state] > RANKS[row.state]
+    return STATE_PRECEDENCE[update.state] > STATE_PRECEDENCE[row.state]
 
 
-def take_updates(
+def apply_updates(
     tables: Tables, updates: tuple[HostUpdate, ...], now: float, news: bool = True
 ) -> bool:
     """Take what a message says of hosts; return whether it brought new ones.
@@ -91,7 +91,7 @@
         if update.host_id == tables.host_id:
             refute(tables, update)
         else:
-            found = take_update(tables, update, now, news) or found
+            found = apply_update(tables, update, now, news) or found
     return found
 
 
@@ -102,13 +102,13 @@
     declared dead, would be left out by everybody while it serves.
     """
     me = tables.me
-    if outranks(update, me):
+    if supersedes(update, me):
         tables.counters["membership.refuted"] += 1
         me.incarnation = update.incarnation + 1
-        queue_update(tables, describe(me))
+        queue_update(tables, update_of(me))
 
 
-def take_update(tables: Tables, update: HostUpdate, now: float, news: bool) -> bool:
+def apply_update(tables: Tables, update: HostUpdate, now: float, news: bool) -> bool:
     """Take what is said of another host; return whether the host is new here."""
     row = tables.hosts.get(update.host_id)
     if row is None:
@@ -116,19 +116,19 @@
         if added and news:
             queue_update(tables, update)
         return added
-    if not outranks(update, row):
+    if not supersedes(update, row):
         return False
     if update.incarnation > row.incarnation:
         tables.membership.acknowledged.discard(update.host_id)
-    if news and is_news(update, row):
-        queue_update(tables, without_known_host(update, row))
+    if news and needs_forwarding(update, row):
+        queue_update(tables, without_known_address(update, row))
     set_state(tables, row, update.state, now)
     row.incarnation = update.incarnation
     row.host = update.host or row.host
     return False
 
 
-def is_news(update: HostUpdate, row: HostRow) -> bool:
+def needs_forwarding(update: HostUpdate, row: HostRow) -> bool:
     """Whether others need to hear of it from here.
 
     The first word of a host that the settings name is none: passed on, it would
@@ -138,14 +138,14 @@
     return not first or update.state is not HostState.ALIVE
 
 
-def without_known_host(update: HostUpdate, row: HostRow) -> HostUpdate:
+def without_known_address(update: HostUpdate, row: HostRow) -> HostUpdate:
     """Return news without sockets that everybody who knows the host has."""
     return replace(update, host=None) if update.host == row.host else update
 
 
 def add_host(tables: Tables, update: HostUpdate) -> bool:
     """Add a host that is new here; news without sockets or of the dead is none."""
-    if update.host is None or update.state not in PRESENT:
+    if update.host is None or update.state not in PRESENT_STATES:
         return False
     row = HostRow(update.host, update.state, update.incarnation)
     if update.state is HostState.SUSPECT:
@@ -161,26 +161,26 @@
     row.suspect_until = 0.0
     match state:
         case HostState.SUSPECT:
-            row.suspect_until = now + suspect_time(tables)
+            row.suspect_until = now + suspicion_timeout(tables)
             tables.counters["membership.suspected"] += 1
         case HostState.DEAD:
-            row.forget_at = now + FORGET_TIME
+            row.forget_at = now + DEAD_HOST_RETENTION
             tables.membership.acknowledged.discard(row.host.host_id)
             tables.counters["membership.died"] += 1
 
 
-def suspect_time(tables: Tables) -> float:
+def suspicion_timeout(tables: Tables) -> float:
     """Return the seconds that a suspect has to refute.
 
     News waits its turn, and so does a refutation: when a third of a large fleet
     restarts, hosts that refuted in time would be held dead, and these deaths and
     their refutations be more news still, without an end.
     """
-    backlog = len(tables.membership.updates) / MUCH_NEWS
-    return SUSPECT_TIME * max(1.0, backlog)
+    backlog = len(tables.membership.updates) / UPDATE_BACKLOG
+    return SUSPICION_TIMEOUT * max(1.0, backlog)
 
 
-def describe(row: HostRow, with_host: bool = False) -> HostUpdate:
+def update_of(row: HostRow, with_host: bool = False) -> HostUpdate:
     """Return what is known of a host as news."""
     host = row.host if with_host else None
     return HostUpdate(row.host.host_id, row.state, row.incarnation, host)
@@ -203,10 +203,10 @@
     waiting = tables.membership.updates
     chosen = list(first)
     named = {update.host_id for update in first}
-    left = weight - sum(map(weight_of, first))
+    left = weight - sum(map(update_weight, first))
     most = transmission_limit(tables)
     for row in sorted(waiting.values(), key=lambda row: row.sent):
-        left -= weight_of(row.update)
+        left -= update_weight(row.update)
         if left < 0:
             break
         if row.update.host_id not in named:
@@ -217,7 +217,7 @@
     return tuple(chosen)
 
 
-def weight_of(update: HostUpdate) -> int:
+def update_weight(update: HostUpdate) -> int:
     """Return how much of a message a piece of news takes."""
     return 1 if update.host is None else HOST_WEIGHT
 
@@ -231,20 +231,20 @@
     membership = tables.membership
     if not membership.updates:
         return
-    fanout = 1 if len(membership.updates) > MUCH_NEWS else GOSSIP_FANOUT
+    fanout = 1 if len(membership.updates) > UPDATE_BACKLOG else GOSSIP_FANOUT
     for peer in sample(membership.rng, present_hosts(tables), fanout):
         message = Gossip(tables.revision, next_updates(tables))
         actions.append(SendControl(peer, message))
 
 
-def announce(tables: Tables, state: HostState) -> None:
+def announce_state(tables: Tables, state: HostState) -> None:
     """Change this host's own state under a new incarnation."""
     me = tables.me
     me.state = state
     me.incarnation += 1
-    queue_update(tables, describe(me))
+    queue_update(tables, update_of(me))
 
 
-def introduction(tables: Tables) -> HostUpdate:
+def own_update(tables: Tables) -> HostUpdate:
     """Return this host's own sockets and state."""
-    return describe(tables.me, with_host=True)
+    return update_of(tables.me, with_host=True)
--- a/citronspring/systems/drain.py
+++ b/citronspring/systems/drain.py
@@ -6,7 +6,7 @@
 
 from citronspring.entities import HostState
 from citronspring.messages import Stopped
-from citronspring.systems.dissemination import announce
+from citronspring.systems.dissemination import announce_state
 
 if TYPE_CHECKING:
     from citronspring.messages import Action
@@ -21,7 +21,7 @@
     if tables.leave_deadline is None:
         tables.leave_deadline = deadline
         tables.last_packet_at = now
-        announce(tables, HostState.LEAVING)
+        announce_state(tables, HostState.LEAVING)
 
 
 def check_leaving(tables: Tables, now: float, actions: list[Action]) -> None:
--- a/citronspring/systems/expiry.py
+++ b/citronspring/systems/expiry.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from citronspring.systems.binding import forget
-from citronspring.tables import WHEEL_GRAIN
+from citronspring.systems.binding import remove_flow
+from citronspring.tables import WHEEL_BUCKET_WIDTH
 
 if TYPE_CHECKING:
     from citronspring.entities import FlowKey
@@ -17,7 +17,7 @@
 
 def expire_flows(tables: Tables, now: float) -> None:
     """Look at the flows of every wheel bucket whose time has come."""
-    position = int(now // WHEEL_GRAIN)
+    position = int(now // WHEEL_BUCKET_WIDTH)
     for due in sorted(key for key in tables.flows.wheel if key <= position):
         bucket = tables.flows.wheel.pop(due)
         for flow in bucket:
@@ -32,7 +32,7 @@
     if row is None or row.bucket is not bucket:
         return
     if row.deadline <= now:
-        forget(tables, flow)
+        remove_flow(tables, flow)
     else:
         tables.flows.schedule(flow, row, now)
 
--- a/citronspring/systems/fence.py
+++ b/citronspring/systems/fence.py
@@ -12,8 +12,8 @@
 from citronspring.control.tables import sample
 from citronspring.events import CLOCK_JUMPED, FENCE_LOWERED
 from citronspring.messages import Drop, DropReason, Log, ReadPlatform
-from citronspring.systems.binding import forget
-from citronspring.systems.dissemination import present_hosts, suspect_time
+from citronspring.systems.binding import remove_flow
+from citronspring.systems.dissemination import present_hosts, suspicion_timeout
 from citronspring.systems.membership import send_ping
 
 if TYPE_CHECKING:
@@ -23,54 +23,54 @@
 #: Seconds between two ticks from which on the clock counts as having jumped. Less
 #: than an opening waits for its target: a SYN-ACK that waited here longer belongs to
 #: a connection that its owner has reset meanwhile.
-JUMP = 0.5
+CLOCK_JUMP = 0.5
 
 #: Seconds after which a host cut off from everybody serves what it can again.
-FENCE_TIME = 2.0
+FENCE_TIMEOUT = 2.0
 
 #: Seconds between two rounds of questions.
-ASK_INTERVAL = 0.25
+QUERY_INTERVAL = 0.25
 
 #: Peers asked in a round.
-PEERS_ASKED = 3
+PEERS_PER_QUERY = 3
 
 
 def check_clock(tables: Tables, now: float, actions: list[Action]) -> None:
     """Raise the fence if the last tick is too long ago."""
     fence = tables.fence
-    if fence.last_tick_at is None or now - fence.last_tick_at < JUMP:
+    if fence.last_tick_at is None or now - fence.last_tick_at < CLOCK_JUMP:
         return
     tables.counters["fence.raised"] += 1
     fields: dict[str, object] = {"seconds": round(now - fence.last_tick_at, 3)}
     actions.append(Log(CLOCK_JUMPED.number, fields))
     fence.last_tick_at = now
-    fence.until = now + FENCE_TIME
+    fence.until = now + FENCE_TIMEOUT
     fence.required = None
     fence.platform_answered = False
     fence.sequences.clear()
-    renew_suspicions(tables, now)
-    forget_openings(tables)
+    restart_suspicions(tables, now)
+    discard_openings(tables)
     actions.append(ReadPlatform(tables.revision))
-    ask_peers(tables, now, actions)
+    query_peers(tables, now, actions)
 
 
-def forget_openings(tables: Tables) -> None:
+def discard_openings(tables: Tables) -> None:
     """Drop openings and searches under way; another host has them by now.
 
     Their deadlines passed while nobody listened. To refuse the caller for that, or
     to try another target, could meet a connection that is established elsewhere.
     """
     for flow in list(tables.openings):
-        forget(tables, flow)
-    tables.walks.clear()
+        remove_flow(tables, flow)
+    tables.searches.clear()
 
 
-def renew_suspicions(tables: Tables, now: float) -> None:
+def restart_suspicions(tables: Tables, now: float) -> None:
     """Start over with hosts in doubt; their time passed while nobody listened."""
     tables.membership.probes.clear()
     for row in tables.hosts.values():
         if row.suspect_until > 0.0:
-            row.suspect_until = now + suspect_time(tables)
+            row.suspect_until = now + suspicion_timeout(tables)
 
 
 def run_fence(tables: Tables, now: float, actions: list[Action]) -> None:
@@ -79,30 +79,30 @@
     fence.last_tick_at = now
     if fence.until is None:
         return
-    check_reached(tables, actions)
+    lower_fence_if_current(tables, actions)
     if fence.until is None:
         return
-    if fence.platform_answered and now >= fence.until - FENCE_TIME / 2:
-        lower(tables, "platform", actions)
+    if fence.platform_answered and now >= fence.until - FENCE_TIMEOUT / 2:
+        lower_fence(tables, "platform", actions)
     elif now >= fence.until:
         tables.counters["fence.expired"] += 1
-        lower(tables, "deadline", actions)
+        lower_fence(tables, "deadline", actions)
     elif now >= fence.next_query_at:
-        ask_peers(tables, now, actions)
+        query_peers(tables, now, actions)
 
 
-def ask_peers(tables: Tables, now: float, actions: list[Action]) -> None:
+def query_peers(tables: Tables, now: float, actions: list[Action]) -> None:
     """Ask a few peers for their revision."""
     fence = tables.fence
-    fence.next_query_at = now + ASK_INTERVAL
+    fence.next_query_at = now + QUERY_INTERVAL
     present = present_hosts(tables)
-    for peer in sample(tables.membership.rng, present, PEERS_ASKED):
+    for peer in sample(tables.membership.rng, present, PEERS_PER_QUERY):
         sequence = tables.membership.next_sequence()
         fence.sequences.add(sequence)
         send_ping(tables, peer, sequence, actions)
 
 
-def hear_revision(tables: Tables, sequence: int, revision: int) -> None:
+def note_answered_revision(tables: Tables, sequence: int, revision: int) -> None:
     """Take a peer's answer if it was asked since the jump.
 
     An answer that waited in the socket through the freeze proves nothing, and
@@ -115,25 +115,25 @@
         fence.required = max(revision, fence.required or 0)
 
 
-def check_reached(tables: Tables, actions: list[Action]) -> None:
+def lower_fence_if_current(tables: Tables, actions: list[Action]) -> None:
     """Lower the fence once the revision that was heard of is in force."""
     required = tables.fence.required
     if required is not None and tables.revision >= required:
-        lower(tables, "peer", actions)
+        lower_fence(tables, "peer", actions)
 
 
-def hear_platform(tables: Tables, asked_at: float) -> None:
+def note_platform_answer(tables: Tables, asked_at: float) -> None:
     """Note that the platform answered a question asked since the jump.
 
     An answer to an earlier one waited in the socket through the freeze. Reads may
     be stale besides, so a peer's word is waited for some time first.
     """
     until = tables.fence.until
-    if until is not None and asked_at >= until - FENCE_TIME:
+    if until is not None and asked_at >= until - FENCE_TIMEOUT:
         tables.fence.platform_answered = True
 
 
-def lower(tables: Tables, heard: str, actions: list[Action]) -> None:
+def lower_fence(tables: Tables, heard: str, actions: list[Action]) -> None:
     """Forward again."""
     actions.append(Log(FENCE_LOWERED.number, {"heard": heard}))
     tables.fence.until = None
--- a/citronspring/systems/second_chance.py
+++ b/citronspring/systems/flow_search.py
@@ -18,10 +18,10 @@
     SendToCaller,
     SendToTarget,
 )
-from citronspring.systems.binding import bind_found
-from citronspring.systems.idle import wake
+from citronspring.systems.binding import bind_learned
+from citronspring.systems.idle import activate
 from citronspring.systems.placement import possible_targets
-from citronspring.tables import WalkRow
+from citronspring.tables import SearchRow
 
 if TYPE_CHECKING:
     from citronspring.entities import FlowKey
@@ -32,16 +32,16 @@
 PROBE_TIMEOUT = 0.15
 
 #: Seconds the second-ranked host has to answer.
-ASK_TIMEOUT = 0.1
+QUERY_TIMEOUT = 0.1
 
 #: Seconds after which a walk ends in silence; the caller retransmits.
-WALK_TIMEOUT = 3.0
+SEARCH_TIMEOUT = 3.0
 
 #: Packets held for one flow while its target is looked for.
 HELD_PACKETS = 8
 
 #: Walks at once; beyond it packets of unknown flows are dropped.
-MAX_WALKS = 4096
+MAX_SEARCHES = 4096
 
 #: Sequence numbers this far apart belong to one connection. Two numbers that are
 #: random by chance both lie this near once in a thousand times.
@@ -52,12 +52,12 @@
 CONFIRM_WINDOW = 1 << 16
 
 
-def near(a: int, b: int, window: int = SEQUENCE_WINDOW) -> bool:
+def within_window(a: int, b: int, window: int = SEQUENCE_WINDOW) -> bool:
     """Whether two 32-bit sequence numbers lie within a window of each other."""
     return ((a - b + window) & SEQUENCE_MASK) <= 2 * window
 
 
-def begin_walk(
+def begin_search(
     tables: Tables,
     account: AccountRow,
     packet: Packet,
@@ -73,101 +73,103 @@
         Whether the second-ranked host is asked first. Not when what this owner
         believed was wrong: its copy would be the same error.
     """
-    wake(tables, account, now)
-    if not tables.walks.has_room(account, MAX_WALKS):
-        actions.append(Drop(DropReason.WALK_FULL))
+    activate(tables, account, now)
+    if not tables.searches.has_room(account, MAX_SEARCHES):
+        actions.append(Drop(DropReason.SEARCH_FULL))
         return
     tables.counters["walks"] += 1
-    walk = WalkRow(
+    search = SearchRow(
         account,
         possible_targets(packet.flow, account),
         [packet],
-        now + WALK_TIMEOUT,
-        now + ASK_TIMEOUT,
+        now + SEARCH_TIMEOUT,
+        now + QUERY_TIMEOUT,
     )
-    tables.walks[packet.flow] = walk
-    second = tables.ring.pair(packet.flow)[1]
+    tables.searches[packet.flow] = search
+    second = tables.owners.owner_and_backup(packet.flow)[1]
     if second is None or not ask:
-        try_next(tables, packet.flow, walk, now, actions)
+        probe_next_candidate(tables, packet.flow, search, now, actions)
         return
-    actions.append(Relay(RelayKind.ASK, second, packet.flow, packet))
+    actions.append(Relay(RelayKind.QUERY, second, packet.flow, packet))
 
 
-def hold(
-    tables: Tables, walk: WalkRow, packet: Packet, now: float, actions: list[Action]
+def hold_packet(
+    tables: Tables, search: SearchRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
     """Keep a further packet of a flow whose target is being looked for."""
-    if len(walk.packets) >= HELD_PACKETS:
-        actions.append(Drop(DropReason.WALK_FULL))
-    elif packet.payload_length and not walk.packets[0].payload_length:
-        probe_with_data(tables, walk, packet, now, actions)
+    if len(search.packets) >= HELD_PACKETS:
+        actions.append(Drop(DropReason.SEARCH_FULL))
+    elif packet.payload_length and not search.packets[0].payload_length:
+        probe_with_data(tables, search, packet, now, actions)
     else:
-        walk.packets.append(packet)
+        search.packets.append(packet)
 
 
 def probe_with_data(
-    tables: Tables, walk: WalkRow, packet: Packet, now: float, actions: list[Action]
+    tables: Tables, search: SearchRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
     """Start over with a packet that the holder of the flow will acknowledge."""
-    walk.packets.insert(0, packet)
-    if walk.position < 0:
+    search.packets.insert(0, packet)
+    if search.position < 0:
         return
-    walk.position = -1
-    try_next(tables, packet.flow, walk, now, actions)
+    search.position = -1
+    probe_next_candidate(tables, packet.flow, search, now, actions)
 
 
-def second_does_not_know(
+def receive_unknown(
     tables: Tables, flow: FlowKey, now: float, actions: list[Action]
 ) -> None:
     """The second-ranked host does not know the flow either: ask the targets."""
-    walk = tables.walks.get(flow)
-    if walk is not None and walk.position < 0:
-        try_next(tables, flow, walk, now, actions)
+    search = tables.searches.get(flow)
+    if search is not None and search.position < 0:
+        probe_next_candidate(tables, flow, search, now, actions)
 
 
-def try_next(
-    tables: Tables, flow: FlowKey, walk: WalkRow, now: float, actions: list[Action]
+def probe_next_candidate(
+    tables: Tables, flow: FlowKey, search: SearchRow, now: float, actions: list[Action]
 ) -> None:
     """Offer the held packet to the next candidate, or end the walk."""
-    walk.position += 1
-    while walk.position < len(walk.candidates) and has_reset(walk):
-        walk.position += 1
-    if walk.position >= len(walk.candidates):
-        end_walk(tables, flow, walk, now, actions)
+    search.position += 1
+    while search.position < len(search.candidates) and candidate_has_reset(search):
+        search.position += 1
+    if search.position >= len(search.candidates):
+        end_search(tables, flow, search, now, actions)
         return
-    walk.attempt_deadline = now + PROBE_TIMEOUT
+    search.attempt_deadline = now + PROBE_TIMEOUT
     tables.counters["probes"] += 1
-    target_id = walk.candidates[walk.position].target.target_id
-    actions.append(SendToTarget(target_id, walk.packets[0]))
+    target_id = search.candidates[search.position].target.target_id
+    actions.append(SendToTarget(target_id, search.packets[0]))
 
 
-def has_reset(walk: WalkRow) -> bool:
+def candidate_has_reset(search: SearchRow) -> bool:
     """Whether the current candidate has already said it does not hold the flow."""
-    return walk.candidates[walk.position].target.target_id in walk.resets
+    return search.candidates[search.position].target.target_id in search.resets
 
 
-def end_walk(
-    tables: Tables, flow: FlowKey, walk: WalkRow, now: float, actions: list[Action]
+def end_search(
+    tables: Tables, flow: FlowKey, search: SearchRow, now: float, actions: list[Action]
 ) -> None:
     """Settle a walk in which no candidate owned up to the flow.
 
     If all but one answered with a reset, the flow can live only on the silent
     one: a target acknowledges no bare ACK, so the holder may well say nothing.
     """
-    del tables.walks[flow]
-    silent = [row for row in walk.candidates if row.target.target_id not in walk.resets]
-    if len(silent) == 1 and is_certain(tables):
-        bind_found(tables, flow, silent[0], now)
-        for packet in walk.packets[1:]:
+    del tables.searches[flow]
+    silent = [
+        row for row in search.candidates if row.target.target_id not in search.resets
+    ]
+    if len(silent) == 1 and has_newest_revision(tables):
+        bind_learned(tables, flow, silent[0], now)
+        for packet in search.packets[1:]:
             actions.append(SendToTarget(silent[0].target.target_id, packet))
         return
     tables.counters["walks.uncertain"] += 1
     actions.append(Drop(DropReason.UNCERTAIN))
 
 
-def answer_during_walk(
+def answer_during_search(
     tables: Tables,
-    walk: WalkRow,
+    search: SearchRow,
     target: TargetRow,
     packet: Packet,
     now: float,
@@ -175,32 +177,32 @@
 ) -> None:
     """Take an answer from a candidate: a reset moves on, anything else binds."""
     if packet.flags & RST:
-        reset_during_walk(tables, walk, target, packet, now, actions)
+        reset_during_search(tables, search, target, packet, now, actions)
         return
-    if not plausible(walk, packet):
+    if not belongs_to_connection(search, packet):
         actions.append(Drop(DropReason.STALE_ANSWER))
         return
-    found(tables, walk, target, packet, now, actions)
+    complete_search(tables, search, target, packet, now, actions)
 
 
-def plausible(walk: WalkRow, answer: Packet) -> bool:
+def belongs_to_connection(search: SearchRow, answer: Packet) -> bool:
     """Whether an answer belongs to the caller's connection.
 
     A target in TIME-WAIT of an earlier flow with the same tuple acknowledges
     too; its numbers are those of the old connection. A target on which the SYN was
     placed a second time answers with a SYN-ACK that the caller did not take.
     """
-    probe = walk.packets[0]
+    probe = search.packets[0]
     if not answer.flags & ACK:
         return False
     if answer.flags & SYN:
         return probe.ack == (answer.seq + 1) & SEQUENCE_MASK
-    return near(answer.ack, probe.seq) and near(answer.seq, probe.ack)
+    return within_window(answer.ack, probe.seq) and within_window(answer.seq, probe.ack)
 
 
-def found(
+def complete_search(
     tables: Tables,
-    walk: WalkRow,
+    search: SearchRow,
     target: TargetRow,
     answer: Packet,
     now: float,
@@ -208,18 +210,18 @@
 ) -> None:
     """Bind the flow to the target that knows it and let the held packets go."""
     flow = answer.flow
-    del tables.walks[flow]
+    del tables.searches[flow]
     tables.counters["walks.found"] += 1
-    bind_found(tables, flow, target, now)
+    bind_learned(tables, flow, target, now)
     actions.append(SendToCaller(answer))
-    offered = walk.position >= 0 and walk.candidates[walk.position] is target
-    for packet in walk.packets[1 if offered else 0 :]:
+    offered = search.position >= 0 and search.candidates[search.position] is target
+    for packet in search.packets[1 if offered else 0 :]:
         actions.append(SendToTarget(target.target.target_id, packet))
 
 
-def reset_during_walk(
+def reset_during_search(
     tables: Tables,
-    walk: WalkRow,
+    search: SearchRow,
     target: TargetRow,
     packet: Packet,
     now: float,
@@ -227,20 +229,20 @@
 ) -> None:
     """Swallow a candidate's reset; pass it on only when all others said so too."""
     flow = packet.flow
-    walk.resets.add(target.target.target_id)
-    all_reset = all(row.target.target_id in walk.resets for row in walk.candidates)
-    if all_reset and is_certain(tables):
-        del tables.walks[flow]
+    search.resets.add(target.target.target_id)
+    all_reset = all(row.target.target_id in search.resets for row in search.candidates)
+    if all_reset and has_newest_revision(tables):
+        del tables.searches[flow]
         tables.counters["walks.unknown_flow"] += 1
         actions.append(SendToCaller(packet))
         return
     actions.append(Drop(DropReason.SWALLOWED_RESET))
-    current = walk.position >= 0 and walk.candidates[walk.position] is target
+    current = search.position >= 0 and search.candidates[search.position] is target
     if current:
-        try_next(tables, flow, walk, now, actions)
+        probe_next_candidate(tables, flow, search, now, actions)
 
 
-def is_certain(tables: Tables) -> bool:
+def has_newest_revision(tables: Tables) -> bool:
     """Whether this host knows every target the account's flows can live on.
 
     A peer with a higher revision may have placed the flow on a target this host
@@ -249,11 +251,11 @@
     return all(row.revision <= tables.revision for row in tables.hosts.values())
 
 
-def expire_walks(tables: Tables, now: float, actions: list[Action]) -> None:
+def expire_searches(tables: Tables, now: float, actions: list[Action]) -> None:
     """Move walks on from candidates that do not answer; end the overdue."""
-    for flow, walk in list(tables.walks.items()):
-        if walk.deadline <= now:
-            del tables.walks[flow]
+    for flow, search in list(tables.searches.items()):
+        if search.deadline <= now:
+            del tables.searches[flow]
             actions.append(Drop(DropReason.UNCERTAIN))
-        elif walk.attempt_deadline <= now:
-            try_next(tables, flow, walk, now, actions)
+        elif search.attempt_deadline <= now:
+            probe_next_candidate(tables, flow, search, now, actions)
--- a/citronspring/systems/health.py
+++ b/citronspring/systems/health.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from citronspring.load_rows import SOUND, ProbeNote
+from citronspring.load_rows import UNKNOWN_HEALTH, ProberReport
 from citronspring.messages import ProbeTarget
 from citronspring.rendezvous import ranked, score
 
@@ -26,7 +26,7 @@
 
 #: Seconds a target must answer before its earlier ejections are forgiven. A
 #: target that flaps faster is ejected for longer and longer.
-FORGIVENESS_TIME = 60.0
+EJECTION_RESET_TIME = 60.0
 
 #: Seconds between two trial flows of one owner on a target that was ejected;
 #: longer than an opening attempt, so that one trial is over before the next.
@@ -36,10 +36,10 @@
 DISPUTED_TRIAL_INTERVAL = 5.0
 
 #: Seconds over which a new or returning target takes a growing share of load.
-RAMP_TIME = 30.0
+SLOW_START_TIME = 30.0
 
 #: Share of load at which the ramp begins.
-RAMP_START = 0.1
+SLOW_START_SHARE = 0.1
 
 #: Hosts that probe each target.
 PROBERS = 2
@@ -51,7 +51,7 @@
 PROBES_TO_CHANGE = 2
 
 #: Seconds a probe's result counts; two probes may be lost.
-NOTE_LIFETIME = 7.0
+REPORT_LIFETIME = 7.0
 
 #: How much a reported load of 1.0 makes a target look fuller. Small, since load
 #: endpoints lag: more would swing flows to and fro between targets.
@@ -63,19 +63,19 @@
 
 def note_answer(row: TargetRow, now: float) -> None:
     """A target answered an opening: whatever was held against it is past."""
-    health = row.own_health()
+    health = row.writable_health()
     health.failures = 0
     health.answered_at = now
     if health.on_probation:
         health.on_probation = False
         health.ejected_until = 0.0
-        health.forgiven_at = now + FORGIVENESS_TIME
-        row.warm_at = now + RAMP_TIME
+        health.ejections_reset_at = now + EJECTION_RESET_TIME
+        row.warm_at = now + SLOW_START_TIME
 
 
 def note_failure(tables: Tables, row: TargetRow, now: float) -> None:
     """A target refused an opening, left it unanswered, or was not reached."""
-    health = row.own_health()
+    health = row.writable_health()
     if health.ejected_until > now:
         return
     health.failures += 1
@@ -85,8 +85,8 @@
 
 def eject(tables: Tables, row: TargetRow, now: float) -> None:
     """Keep new flows away from a target, longer each time."""
-    health = row.own_health()
-    if not health.on_probation and health.forgiven_at <= now:
+    health = row.writable_health()
+    if not health.on_probation and health.ejections_reset_at <= now:
         health.ejections = 0
     health.on_probation = True
     lasting = min(EJECTION_TIME_MAX, EJECTION_TIME * 2**health.ejections)
@@ -97,7 +97,7 @@
     tables.counters["targets.ejected"] += 1
 
 
-def is_out(tables: Tables, row: TargetRow, now: float) -> bool:
+def is_excluded(tables: Tables, row: TargetRow, now: float) -> bool:
     """Whether new flows keep away from the target, as long as others are left.
 
     An ejected target is tried again by one flow at a time: were all let in at
@@ -108,7 +108,7 @@
         return True
     if health.on_probation:
         return health.trial_until > now or row.account.retry_balance < 1.0
-    if health.notes is None or not probers_agree(tables, row, now):
+    if health.prober_reports is None or not probers_agree(tables, row, now):
         return False
     # Without a trial now and then no opening could ever prove both probers wrong.
     return health.trial_until > now
@@ -119,41 +119,41 @@
     health = row.health
     if health.on_probation:
         health.trial_until = now + TRIAL_INTERVAL
-    elif health.notes is not None:
+    elif health.prober_reports is not None:
         health.trial_until = now + DISPUTED_TRIAL_INTERVAL
 
 
-def forget_health(row: TargetRow) -> None:
+def discard_reports(row: TargetRow) -> None:
     """Forget what an idle account's target need not be remembered for."""
-    row.health.notes = None
+    row.health.prober_reports = None
     if not row.health.on_probation:
-        row.health = SOUND
+        row.health = UNKNOWN_HEALTH
 
 
 def probers_agree(tables: Tables, row: TargetRow, now: float) -> bool:
     """Whether all probers call the target unhealthy and no opening disproves it."""
-    notes = fresh_notes(row, now)
-    needed = min(PROBERS, len(tables.ring.members))
+    notes = current_reports(row, now)
+    needed = min(PROBERS, len(tables.owners.members))
     if len(notes) < needed or any(note.healthy for note in notes):
         return False
     return row.health.answered_at < min(note.since for note in notes)
 
 
-def fresh_notes(row: TargetRow, now: float) -> list[ProbeNote]:
+def current_reports(row: TargetRow, now: float) -> list[ProberReport]:
     """Return what probers said of the target lately."""
-    if row.health.notes is None:
+    if row.health.prober_reports is None:
         return []
-    return [note for note in row.health.notes.values() if note.deadline > now]
+    return [note for note in row.health.prober_reports.values() if note.deadline > now]
 
 
-def weight_of(row: TargetRow, now: float) -> float:
+def load_factor(row: TargetRow, now: float) -> float:
     """Return how much fuller than it is the target is to look to new flows."""
     weight = 1.0
     if row.warm_at > now:
-        weight /= max(RAMP_START, 1.0 - (row.warm_at - now) / RAMP_TIME)
-    if row.health.notes is None:
+        weight /= max(SLOW_START_SHARE, 1.0 - (row.warm_at - now) / SLOW_START_TIME)
+    if row.health.prober_reports is None:
         return weight
-    notes = fresh_notes(row, now)
+    notes = current_reports(row, now)
     loads = [note.load for note in notes if note.load is not None]
     if loads:
         weight *= 1.0 + LOAD_WEIGHT * sum(loads) / len(loads)
@@ -162,7 +162,7 @@
     return weight
 
 
-def return_at(account: AccountRow, now: float) -> float | None:
+def next_trial_at(account: AccountRow, now: float) -> float | None:
     """Return when the first target out of service is tried again, if one is."""
     times = [
         max(row.health.ejected_until, row.placeable_from) for row in account.targets
@@ -193,31 +193,31 @@
 
 def is_prober(tables: Tables, row: TargetRow) -> bool:
     """Whether this host is one of the target's probers."""
-    order = ranked(row.target.target_id.encode(), tables.ring.members)
+    order = ranked(row.target.target_id.encode(), tables.owners.members)
     return tables.host_id in order[:PROBERS]
 
 
-def take_probe_result(tables: Tables, event: ProbeResult, now: float) -> None:
+def record_probe_result(tables: Tables, event: ProbeResult, now: float) -> None:
     """Keep a probe's result; a change of mind takes several in a row."""
     row = tables.targets.get(event.target_id)
     if row is None:
         return
-    note = (row.health.notes or {}).get(tables.host_id)
+    note = (row.health.prober_reports or {}).get(tables.host_id)
     healthy = event.healthy
     contrary = 0
     if note is not None and note.healthy != healthy:
-        contrary = note.contrary + 1
+        contrary = note.contrary_results + 1
         if contrary < PROBES_TO_CHANGE:
             healthy = note.healthy
         else:
             contrary = 0
-    deadline = now + NOTE_LIFETIME
-    take_note(row, tables.host_id, healthy, event.load, now, deadline)
-    assert row.health.notes is not None
-    row.health.notes[tables.host_id].contrary = contrary
+    deadline = now + REPORT_LIFETIME
+    record_report(row, tables.host_id, healthy, event.load, now, deadline)
+    assert row.health.prober_reports is not None
+    row.health.prober_reports[tables.host_id].contrary_results = contrary
 
 
-def take_note(
+def record_report(
     row: TargetRow,
     prober: str,
     healthy: bool,
@@ -226,17 +226,17 @@
     deadline: float,
 ) -> None:
     """Keep what a prober says of a target."""
-    health = row.own_health()
-    if health.notes is None:
-        health.notes = {}
-    earlier = health.notes.get(prober)
+    health = row.writable_health()
+    if health.prober_reports is None:
+        health.prober_reports = {}
+    earlier = health.prober_reports.get(prober)
     since = now
     if earlier is not None and earlier.deadline > now and earlier.healthy == healthy:
         since = earlier.since
-    health.notes[prober] = ProbeNote(healthy, load, since, deadline)
+    health.prober_reports[prober] = ProberReport(healthy, load, since, deadline)
 
 
-def target_unreachable(tables: Tables, target_id: str, now: float) -> None:
+def record_unreachable(tables: Tables, target_id: str, now: float) -> None:
     """The network said that a target's tunnel takes no packets."""
     row = tables.targets.get(target_id)
     if row is not None:
--- a/citronspring/systems/hints.py
+++ b/citronspring/systems/hints.py
@@ -36,7 +36,7 @@
 ) -> bool:
     """Forward a packet by a hint if it still holds; return whether it did."""
     current = tables.targets.get(hint.target.target.target_id)
-    stale = hint.ring_version != tables.ring.version or current is not hint.target
+    stale = hint.owners_version != tables.owners.version or current is not hint.target
     if hint.deadline <= now or stale:
         del tables.hints[packet.flow]
         return False
@@ -67,14 +67,16 @@
     actions.append(Relay(RelayKind.HINT, event.sender, event.flow, target_id=target_id))
 
 
-def take_hint(tables: Tables, event: RelayReceived, now: float) -> None:
+def receive_hint(tables: Tables, event: RelayReceived, now: float) -> None:
     """Keep a hint, if it comes from the owner this host knows."""
     target = target_of(tables, event.flow, event.target_id)
-    owner = tables.ring.pair(event.flow)[0]
+    owner = tables.owners.owner_and_backup(event.flow)[0]
     if target is None or owner != event.sender:
         return
     # Taken out first, so that hints stand in the order in which they run out.
     tables.hints.pop(event.flow, None)
     if len(tables.hints) >= MAX_HINTS:
         return
-    tables.hints[event.flow] = HintRow(target, now + HINT_LIFETIME, tables.ring.version)
+    tables.hints[event.flow] = HintRow(
+        target, now + HINT_LIFETIME, tables.owners.version
+    )
--- a/citronspring/systems/idle.py
+++ b/citronspring/systems/idle.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING
 
-from citronspring.systems.health import forget_health
+from citronspring.systems.health import discard_reports
 
 if TYPE_CHECKING:
     from citronspring.tables import AccountRow, Tables
@@ -19,7 +19,7 @@
 IDLE_AFTER = 60.0
 
 
-def wake(tables: Tables, account: AccountRow, now: float) -> None:
+def activate(tables: Tables, account: AccountRow, now: float) -> None:
     """Have the account looked at by the systems that act on time."""
     account_id = account.account.account_id
     if account_id in tables.active_accounts:
@@ -28,35 +28,35 @@
     account.idle_from = now + IDLE_AFTER
 
 
-def keep_awake(tables: Tables, account: AccountRow, now: float) -> None:
+def extend_activity(tables: Tables, account: AccountRow, now: float) -> None:
     """Have the account looked at for a while, though it holds no row here."""
-    wake(tables, account, now)
+    activate(tables, account, now)
     account.idle_from = now + IDLE_AFTER
 
 
-def put_idle_to_sleep(tables: Tables, now: float) -> None:
+def deactivate_idle_accounts(tables: Tables, now: float) -> None:
     """Take accounts that did nothing for long off the list of active ones."""
     due = [row for row in tables.active_accounts.values() if row.idle_from <= now]
     for account in due:
         if is_in_use(tables, account):
             account.idle_from = now + IDLE_AFTER
         else:
-            sleep(tables, account)
+            deactivate(tables, account)
 
 
 def is_in_use(tables: Tables, account: AccountRow) -> bool:
     """Whether the account holds a row of any table."""
     return (
-        account in tables.flows.rows.held
-        or account in tables.openings.held
-        or account in tables.walks.held
+        account in tables.flows.rows.row_counts
+        or account in tables.openings.row_counts
+        or account in tables.searches.row_counts
     )
 
 
-def sleep(tables: Tables, account: AccountRow) -> None:
+def deactivate(tables: Tables, account: AccountRow) -> None:
     """Drop what only an active account needs; stored deadlines stay true."""
     del tables.active_accounts[account.account.account_id]
     if account.lending is not None:
-        account.lending.uses.clear()
+        account.lending.peer_usage.clear()
     for row in account.targets:
-        forget_health(row)
+        discard_reports(row)
--- a/citronspring/systems/loads.py
+++ b/citronspring/systems/loads.py
@@ -11,18 +11,18 @@
 from typing import TYPE_CHECKING
 
 from citronspring.control.messages import AccountUse, Loads, TargetLoad
-from citronspring.load_rows import RemoteCount, ToldLoad
+from citronspring.load_rows import RemoteCount, SentLoad
 from citronspring.messages import SendControl
-from citronspring.systems.health import PROBE_INTERVAL, take_note
-from citronspring.systems.idle import keep_awake
-from citronspring.systems.limits import is_pressed, promise, take_promise
+from citronspring.systems.health import PROBE_INTERVAL, record_report
+from citronspring.systems.idle import extend_activity
+from citronspring.systems.limits import is_contended, next_usage_cap, record_peer_usage
 
 if TYPE_CHECKING:
     from citronspring.messages import Action
     from citronspring.tables import Tables, TargetRow
 
 #: Seconds between two messages of a host.
-TELL_INTERVAL = 0.5
+SEND_INTERVAL = 0.5
 
 #: Bytes of entries in one message. With the envelope and the headers of two
 #: datagrams a second, a host spends about 1 KB/s.
@@ -32,7 +32,7 @@
 ENTRY_BYTES = 9
 
 #: Account uses of one message; loads are left room.
-USE_ENTRIES = 6
+MAX_USE_ENTRIES = 6
 
 #: Seconds after which an unchanged entry is told again, as datagrams get lost.
 REPEAT_INTERVAL = 30.0
@@ -41,13 +41,13 @@
 COUNT_LIFETIME = 120.0
 
 #: Seconds without any message after which a peer's flows count as unknown.
-SILENCE = 45.0
+PEER_SILENCE_TIMEOUT = 45.0
 
 #: Each second that an entry waits is as urgent as this many flows of change.
-FLOWS_PER_SECOND = 0.05
+WAIT_URGENCY = 0.05
 
 #: A probed state is as urgent as this many flows of change.
-NOTE_URGENCY = 8.0
+REPORT_URGENCY = 8.0
 
 #: How much fresh counts of peers matter in placement.
 FRESH_WEIGHT = 0.5
@@ -72,25 +72,25 @@
     entry: TargetLoad
 
 
-def tell_loads(tables: Tables, now: float, actions: list[Action]) -> None:
+def send_loads(tables: Tables, now: float, actions: list[Action]) -> None:
     """Tell the peer whose turn it is what changed."""
     loads = tables.loads
-    if loads.ring_version != tables.ring.version:
-        loads.ring_version = tables.ring.version
-        forget_departed(tables)
+    if loads.owners_version != tables.owners.version:
+        loads.owners_version = tables.owners.version
+        discard_departed_peers(tables)
         count_silent_peers(tables, now)
-    if now < loads.tell_at:
+    if now < loads.next_send_at:
         return
-    loads.tell_at = now + TELL_INTERVAL
-    peers = [name for name in tables.ring.members if name != tables.host_id]
+    loads.next_send_at = now + SEND_INTERVAL
+    peers = [name for name in tables.owners.members if name != tables.host_id]
     count_silent_peers(tables, now)
     if not peers:
         return
-    loads.turn += 1
-    peer = peers[loads.turn % len(peers)]
+    loads.messages_sent += 1
+    peer = peers[loads.messages_sent % len(peers)]
     loads.weight = FRESH_WEIGHT if is_cycle_short(tables, len(peers)) else 0.0
     expire_counts(tables, peer, now)
-    message = message_for(tables, peer, now)
+    message = build_message(tables, peer, now)
     if message.targets or message.accounts:
         tables.counters["loads.entries"] += len(message.targets) + len(message.accounts)
         tables.counters["loads.messages"] += 1
@@ -101,22 +101,22 @@
     """Whether the budget lets every peer know all counts while they are fresh."""
     entries = sum(len(row.targets) for row in tables.active_accounts.values())
     messages = peers * (1 + entries // TYPICAL_ENTRIES)
-    return messages * TELL_INTERVAL <= FRESH_CYCLE
+    return messages * SEND_INTERVAL <= FRESH_CYCLE
 
 
-def message_for(tables: Tables, peer: str, now: float) -> Loads:
+def build_message(tables: Tables, peer: str, now: float) -> Loads:
     """Return the most urgent entries for a peer, and note them as told."""
     uses = account_uses(tables, now)
     candidates = candidates_for(tables, peer, now)
     candidates.sort(key=lambda item: item.urgency, reverse=True)
     used = sum(ENTRY_BYTES + len(use.account_id) for use in uses)
     entries = first_that_fit(candidates, MESSAGE_BYTES - used)
-    told = tables.loads.told.setdefault(peer, {})
+    told = tables.loads.last_sent.setdefault(peer, {})
     for entry in entries:
         if entry.flows == 0 and entry.healthy is None:
             told.pop(entry.target_id, None)
         else:
-            told[entry.target_id] = ToldLoad(entry.flows, now)
+            told[entry.target_id] = SentLoad(entry.flows, now)
     return Loads(tuple(entries), uses)
 
 
@@ -133,7 +133,7 @@
 
 def candidates_for(tables: Tables, peer: str, now: float) -> list[Candidate]:
     """Return every entry that the peer does not know, with its urgency."""
-    told = tables.loads.told.get(peer, {})
+    told = tables.loads.last_sent.get(peer, {})
     fresh = tables.loads.weight > 0.0
     found: list[Candidate] = []
     seen: set[str] = set()
@@ -158,7 +158,7 @@
 def entry_of(tables: Tables, row: TargetRow, now: float) -> TargetLoad:
     """Return what this host knows of a target at first hand."""
     target_id = row.target.target_id
-    note = (row.health.notes or {}).get(tables.host_id)
+    note = (row.health.prober_reports or {}).get(tables.host_id)
     if note is None or note.deadline <= now:
         return TargetLoad(target_id, row.flows)
     load = None
@@ -167,16 +167,16 @@
     return TargetLoad(target_id, row.flows, load, note.healthy)
 
 
-def urgency_of(entry: TargetLoad, told: ToldLoad | None, now: float) -> float:
+def urgency_of(entry: TargetLoad, told: SentLoad | None, now: float) -> float:
     """Return how much a peer needs an entry; 0.0 if it need not be told."""
-    noted = NOTE_URGENCY if entry.healthy is not None else 0.0
+    noted = REPORT_URGENCY if entry.healthy is not None else 0.0
     if told is None:
         return entry.flows + noted
-    waited = now - told.told_at
+    waited = now - told.sent_at
     change = abs(entry.flows - told.flows)
     if not change and not noted and waited < REPEAT_INTERVAL:
         return 0.0
-    return change + noted + waited * FLOWS_PER_SECOND
+    return change + noted + waited * WAIT_URGENCY
 
 
 def account_uses(tables: Tables, now: float) -> tuple[AccountUse, ...]:
@@ -184,49 +184,50 @@
     pressed = [
         (account_id, row)
         for account_id, row in tables.active_accounts.items()
-        if is_pressed(tables, row, now)
+        if is_contended(tables, row, now)
     ]
-    start = tables.loads.turn * USE_ENTRIES % max(1, len(pressed))
-    chosen = (pressed[start:] + pressed[:start])[:USE_ENTRIES]
+    start = tables.loads.messages_sent * MAX_USE_ENTRIES % max(1, len(pressed))
+    chosen = (pressed[start:] + pressed[:start])[:MAX_USE_ENTRIES]
     return tuple(
-        AccountUse(account_id, promise(tables, row, now)) for account_id, row in chosen
+        AccountUse(account_id, next_usage_cap(tables, row, now))
+        for account_id, row in chosen
     )
 
 
 # What peers tell ---------------------------------------------------------------
 
 
-def take_loads(tables: Tables, peer: str, message: Loads, now: float) -> None:
+def receive_loads(tables: Tables, peer: str, message: Loads, now: float) -> None:
     """Keep what a peer told."""
-    if peer not in tables.ring.positions or peer == tables.host_id:
+    if peer not in tables.owners.positions or peer == tables.host_id:
         tables.counters["loads.stranger"] += 1
         return
-    tables.loads.heard_until[peer] = now + SILENCE
+    tables.loads.valid_until[peer] = now + PEER_SILENCE_TIMEOUT
     for entry in message.targets:
         row = tables.targets.get(entry.target_id)
         if row is not None:
-            take_entry(tables, peer, row, entry, now)
+            apply_entry(tables, peer, row, entry, now)
     for use in message.accounts:
         account = tables.accounts.get(use.account_id)
         if account is not None:
-            take_promise(tables, account, peer, use.open_flows, now)
+            record_peer_usage(tables, account, peer, use.open_flows, now)
 
 
-def take_entry(
+def apply_entry(
     tables: Tables, peer: str, row: TargetRow, entry: TargetLoad, now: float
 ) -> None:
     """Keep a peer's count of a target, and its probed state."""
     set_count(tables, peer, row, entry.flows, now)
     if entry.flows > 0:
         # This host may be the one that probes for the peer that has the flows.
-        keep_awake(tables, row.account, now)
+        extend_activity(tables, row.account, now)
     if entry.healthy is not None and row.account.account.account_id in (
         tables.active_accounts
     ):
         load = None if entry.load is None else entry.load / LOAD_SCALE
-        turns = len(tables.ring.members) * TELL_INTERVAL
+        turns = len(tables.owners.members) * SEND_INTERVAL
         deadline = now + 2 * PROBE_INTERVAL + 2 * turns
-        take_note(row, peer, entry.healthy, load, now, deadline)
+        record_report(row, peer, entry.healthy, load, now, deadline)
 
 
 def set_count(
@@ -249,28 +250,28 @@
         set_count(tables, peer, note.row, 0, now)
 
 
-def forget_departed(tables: Tables) -> None:
+def discard_departed_peers(tables: Tables) -> None:
     """Drop all that hosts told which own nothing any longer.
 
     Their flows are counted by the owners that take them over; counted twice, they
     would keep new flows away from the targets they are on.
     """
     loads = tables.loads
-    members = tables.ring.positions
+    members = tables.owners.positions
     for peer in [name for name in loads.counts if name not in members]:
         for note in loads.counts.pop(peer).values():
             note.row.remote_flows -= note.flows
-    for peer in [name for name in loads.heard_until if name not in members]:
-        del loads.heard_until[peer]
-    for peer in [name for name in loads.told if name not in members]:
-        del loads.told[peer]
+    for peer in [name for name in loads.valid_until if name not in members]:
+        del loads.valid_until[peer]
+    for peer in [name for name in loads.last_sent if name not in members]:
+        del loads.last_sent[peer]
 
 
 def count_silent_peers(tables: Tables, now: float) -> None:
     """Count the owners of whose flows nothing fresh is known."""
-    heard = tables.loads.heard_until
+    heard = tables.loads.valid_until
     tables.silent_peers = sum(
         heard.get(name, 0.0) <= now
-        for name in tables.ring.members
+        for name in tables.owners.members
         if name != tables.host_id
     )
--- a/citronspring/systems/membership.py
+++ b/citronspring/systems/membership.py
@@ -17,16 +17,16 @@
 from citronspring.systems.dissemination import (
     ANSWER_WEIGHT,
     GOSSIP_INTERVAL,
-    PRESENT,
-    describe,
+    PRESENT_STATES,
+    apply_updates,
     gossip,
-    introduction,
     next_updates,
+    own_update,
     present_hosts,
     queue_update,
     set_state,
-    suspect_time,
-    take_updates,
+    suspicion_timeout,
+    update_of,
 )
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
     from citronspring.tables import HostRow, Tables
 
 #: Seconds between two pings to hosts in turn.
-PERIOD = 0.5
+PROTOCOL_PERIOD = 0.5
 
 #: Seconds between two tries to reach a host that does not answer.
 RETRY_INTERVAL = 0.2
@@ -44,7 +44,7 @@
 SUSPECT_INTERVAL = 0.5
 
 #: Seconds without any answer after which a host is suspected.
-ANSWER_TIME = 0.65
+PROBE_TIMEOUT = 0.65
 
 #: Hosts asked to ping one that does not answer.
 INDIRECT_PROBES = 3
@@ -53,16 +53,16 @@
 MEMBERS_PER_PART = 10
 
 #: Times that a starting host copies the list while each copy brings members.
-MOST_COPIES = 3
+MAX_LIST_COPIES = 3
 
 #: Seconds after which it copies it for the last time.
-LAST_COPY = 2.0
+FINAL_COPY_DELAY = 2.0
 
 #: Seconds a peer has to send its list of members.
 JOIN_RETRY = 0.5
 
 #: Seconds after which a dead host that the platform does not list is forgotten.
-PRUNE_TIME = 60.0
+UNLISTED_HOST_RETENTION = 60.0
 
 #: Indirect pings under way for others; more are not taken on.
 MAX_FORWARDS = 256
@@ -92,13 +92,13 @@
     membership = tables.membership
     if membership.next_period_at == 0.0:
         # Hosts started together must not ping in step.
-        membership.next_period_at = now + membership.rng.random() * PERIOD
+        membership.next_period_at = now + membership.rng.random() * PROTOCOL_PERIOD
         return
-    membership.next_period_at = now + PERIOD
+    membership.next_period_at = now + PROTOCOL_PERIOD
     host_id = next_in_turn(tables)
     if host_id is not None:
         sequence = membership.next_sequence()
-        probe = ProbeRow(host_id, now + RETRY_INTERVAL, now + ANSWER_TIME)
+        probe = ProbeRow(host_id, now + RETRY_INTERVAL, now + PROBE_TIMEOUT)
         membership.probes[sequence] = probe
         send_ping(tables, host_id, sequence, actions, sample_member(tables))
     ping_dead(tables, actions)
@@ -114,7 +114,7 @@
         if not order:
             return None
         row = tables.hosts.get(order.pop())
-        if row is not None and row.state in PRESENT:
+        if row is not None and row.state in PRESENT_STATES:
             return row.host.host_id
 
 
@@ -133,7 +133,7 @@
 def sample_member(tables: Tables) -> tuple[HostUpdate, ...]:
     """Return one random member, so that all lists grow alike in the end."""
     chosen = sample(tables.membership.rng, list(tables.hosts.values()), 1)
-    return tuple(describe(row, with_host=True) for row in chosen)
+    return tuple(update_of(row, with_host=True) for row in chosen)
 
 
 def send_ping(
@@ -145,9 +145,9 @@
 ) -> None:
     """Ping a host; tell it what is said of it, and who is asking."""
     row = tables.hosts[host_id]
-    first = [] if row.state is HostState.ALIVE else [describe(row)]
+    first = [] if row.state is HostState.ALIVE else [update_of(row)]
     if host_id not in tables.membership.acknowledged:
-        first.append(introduction(tables))
+        first.append(own_update(tables))
     updates = next_updates(tables, *first)
     actions.append(
         SendControl(host_id, Ping(sequence, tables.revision, updates, members))
@@ -165,10 +165,10 @@
         if now >= probe.deadline and row.suspect_until == 0.0:
             suspect(tables, row, now)
         if now >= probe.next_at:
-            ask_again(tables, sequence, probe, now, actions)
+            retry_probe(tables, sequence, probe, now, actions)
 
 
-def ask_again(
+def retry_probe(
     tables: Tables, sequence: int, probe: ProbeRow, now: float, actions: list[Action]
 ) -> None:
     """Ping a silent host again; until it is suspected, through others as well."""
@@ -189,10 +189,10 @@
 def suspect(tables: Tables, row: HostRow, now: float) -> None:
     """Give a silent host a last deadline; a leaving one stays leaving."""
     if row.state is HostState.LEAVING:
-        row.suspect_until = now + suspect_time(tables)
+        row.suspect_until = now + suspicion_timeout(tables)
         return
     set_state(tables, row, HostState.SUSPECT, now)
-    queue_update(tables, describe(row))
+    queue_update(tables, update_of(row))
 
 
 def expire_hosts(tables: Tables, now: float) -> None:
@@ -205,7 +205,7 @@
                 del tables.hosts[host_id]
         elif 0.0 < row.suspect_until <= now:
             set_state(tables, row, HostState.DEAD, now)
-            queue_update(tables, describe(row))
+            queue_update(tables, update_of(row))
 
 
 def expire_forwards(tables: Tables, now: float) -> None:
@@ -223,7 +223,7 @@
 ) -> None:
     """Answer, and tell the sender what is said of it."""
     row = tables.hosts[sender]
-    rumour = () if row.state is HostState.ALIVE else (describe(row),)
+    rumour = () if row.state is HostState.ALIVE else (update_of(row),)
     updates = next_updates(tables, *rumour, weight=ANSWER_WEIGHT)
     ack = Ack(message.sequence, tables.revision, updates)
     actions.append(SendControl(sender, ack))
@@ -269,7 +269,7 @@
     ):
         return
     sequence = membership.next_sequence()
-    deadline = now + ANSWER_TIME
+    deadline = now + PROBE_TIMEOUT
     membership.indirect_pings[sequence] = IndirectPingRow(
         sender, message.sequence, deadline
     )
@@ -287,7 +287,7 @@
     join.retry_at = now + JOIN_RETRY
     for peer in sample(tables.membership.rng, present_hosts(tables), 1):
         known = peer in tables.membership.acknowledged
-        updates = () if known else (introduction(tables),)
+        updates = () if known else (own_update(tables),)
         actions.append(SendControl(peer, MembersRequest(join.part, updates)))
 
 
@@ -299,13 +299,13 @@
     parts = -(-len(names) // MEMBERS_PER_PART)
     start = message.part * MEMBERS_PER_PART
     chosen = names[start : start + MEMBERS_PER_PART]
-    updates = tuple(describe(tables.hosts[name], with_host=True) for name in chosen)
+    updates = tuple(update_of(tables.hosts[name], with_host=True) for name in chosen)
     actions.append(SendControl(sender, Members(message.part, parts, updates)))
 
 
 def receive_members(tables: Tables, message: Members, now: float) -> None:
     """Add members that are new here, and go on to the next part, or end."""
-    found = take_updates(tables, message.updates, now, news=False)
+    found = apply_updates(tables, message.updates, now, news=False)
     join = tables.membership.join
     if join is None or join.part != message.part:
         return
@@ -326,14 +326,14 @@
     if join.last:
         tables.membership.join = None
         return
-    if not join.found or join.copies >= MOST_COPIES:
-        queue_update(tables, introduction(tables))
-        tables.membership.join = JoinRow(last=True, retry_at=now + LAST_COPY)
+    if not join.found or join.copies >= MAX_LIST_COPIES:
+        queue_update(tables, own_update(tables))
+        tables.membership.join = JoinRow(last=True, retry_at=now + FINAL_COPY_DELAY)
         return
     tables.membership.join = JoinRow(join.copies + 1, retry_at=now + JOIN_RETRY)
 
 
-def take_host_list(tables: Tables, event: HostListRead, now: float) -> None:
+def apply_host_list(tables: Tables, event: HostListRead, now: float) -> None:
     """Use the platform's lagging list as a hint; it kills nobody.
 
     A host that it no longer lists may still serve, and one that it lists may be
@@ -342,4 +342,4 @@
     for host_id, row in tables.hosts.items():
         listed = host_id in event.live or host_id in event.leaving
         if row.state is HostState.DEAD and not listed:
-            row.forget_at = min(row.forget_at, now + PRUNE_TIME)
+            row.forget_at = min(row.forget_at, now + UNLISTED_HOST_RETENTION)
--- a/citronspring/systems/openings.py
+++ b/citronspring/systems/openings.py
@@ -13,10 +13,10 @@
     SendToCaller,
     SendToTarget,
 )
-from citronspring.systems.binding import TCP, bind, close, forget
-from citronspring.systems.health import note_failure, note_placed, return_at
-from citronspring.systems.limits import RETRY_AFTER, admit, take_retry
-from citronspring.systems.placement import choose_target, may_take
+from citronspring.systems.binding import TCP, bind, close, remove_flow
+from citronspring.systems.health import next_trial_at, note_failure, note_placed
+from citronspring.systems.limits import RETRY_AFTER, admit, spend_retry
+from citronspring.systems.placement import accepts_new_flow, choose_target
 from citronspring.tables import FlowState, OpeningRow, TargetRow
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
         actions.append(refuse(tables, packet, *refused))
         return
     chosen: TargetRow | RefusalReason
-    if likely is not None and may_take(tables, likely, now):
+    if likely is not None and accepts_new_flow(tables, likely, now):
         chosen = likely
     else:
         chosen = choose_target(tables, packet.flow, account, [], now)
@@ -77,7 +77,7 @@
     timeout = ATTEMPT_TIMEOUT if packet.flow[0] == TCP else DATAGRAM_ATTEMPT_TIMEOUT
     deadline = now + account.account.limits.opening_timeout
     tables.openings[packet.flow] = OpeningRow(packet, [chosen], now + timeout, deadline)
-    forward_by_second(tables, chosen, packet, actions)
+    forward_via_backup(tables, chosen, packet, actions)
 
 
 def refuse(
@@ -88,7 +88,7 @@
     return Refuse(packet, reason, retry_at)
 
 
-def forward_by_second(
+def forward_via_backup(
     tables: Tables, target: TargetRow, packet: Packet, actions: list[Action]
 ) -> None:
     """Send a packet to its target by way of the second-ranked host.
@@ -96,7 +96,7 @@
     The packet itself carries the binding there, so that the host which owns the
     flow once this one is gone knows it, without a control message.
     """
-    owner, second = tables.ring.pair(packet.flow)
+    owner, second = tables.owners.owner_and_backup(packet.flow)
     if owner != tables.host_id or second is None:
         actions.append(SendToTarget(target.target.target_id, packet))
         return
@@ -123,10 +123,10 @@
     account = opening.tried[-1].account
     chosen = choose_target(tables, flow, account, opening.tried, now)
     if isinstance(chosen, RefusalReason):
-        give_up(tables, flow, opening, reason, now, actions)
+        refuse_opening(tables, flow, opening, reason, now, actions)
         return
-    if not take_retry(account):
-        give_up(tables, flow, opening, RefusalReason.RETRIES_SPENT, now, actions)
+    if not spend_retry(account):
+        refuse_opening(tables, flow, opening, RefusalReason.RETRIES_SPENT, now, actions)
         return
     note_placed(chosen, now)
     tables.counters["retried"] += 1
@@ -134,10 +134,10 @@
     opening.tried.append(chosen)
     opening.attempt_deadline = now + ATTEMPT_TIMEOUT
     opening.sent = 1
-    send_past_second(tables, chosen, opening.packet, actions)
+    send_bypassing_backup(tables, chosen, opening.packet, actions)
 
 
-def send_past_second(
+def send_bypassing_backup(
     tables: Tables, target: TargetRow, packet: Packet, actions: list[Action]
 ) -> None:
     """Send a packet straight to its target, and the binding to the second host.
@@ -147,12 +147,12 @@
     """
     target_id = target.target.target_id
     actions.append(SendToTarget(target_id, packet))
-    second = tables.ring.pair(packet.flow)[1]
+    second = tables.owners.owner_and_backup(packet.flow)[1]
     if second is not None:
         actions.append(Relay(RelayKind.BIND, second, packet.flow, target_id=target_id))
 
 
-def give_up(
+def refuse_opening(
     tables: Tables,
     flow: FlowKey,
     opening: OpeningRow,
@@ -166,18 +166,18 @@
     refused caller's own stack resets the late answer.
     """
     retry_at = refused_until(opening.account, reason, now)
-    forget(tables, flow)
+    remove_flow(tables, flow)
     actions.append(refuse(tables, opening.packet, reason, retry_at))
 
 
 def refused_until(account: AccountRow, reason: RefusalReason, now: float) -> float:
     """Return when a caller that was refused for want of a target may come back."""
     if reason is RefusalReason.NO_HEALTHY_TARGET:
-        return return_at(account, now) or now + RETRY_AFTER
+        return next_trial_at(account, now) or now + RETRY_AFTER
     return now + RETRY_AFTER
 
 
-def target_reset_opening(
+def handle_opening_reset(
     tables: Tables, flow: FlowKey, row: FlowRow, now: float, actions: list[Action]
 ) -> None:
     """A target answered a SYN with a reset: it ran nothing, so try another."""
@@ -186,7 +186,7 @@
     retry_opening(tables, flow, opening, RefusalReason.NO_HEALTHY_TARGET, now, actions)
 
 
-def datagram_refused(
+def handle_datagram_refused(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
     """A target refused a datagram: try one other if nothing else was sent there."""
@@ -208,7 +208,7 @@
         if flow[0] != TCP or opening.answer_seq is not None:
             settle_opening(tables, flow, opening, now)
         else:
-            abandon_attempt(tables, flow, opening, now, actions)
+            time_out_attempt(tables, flow, opening, now, actions)
 
 
 def settle_opening(
@@ -224,10 +224,10 @@
         row.state = FlowState.ESTABLISHED
         del tables.openings[flow]
     elif opening.deadline <= now:
-        forget(tables, flow)
+        remove_flow(tables, flow)
 
 
-def abandon_attempt(
+def time_out_attempt(
     tables: Tables,
     flow: FlowKey,
     opening: OpeningRow,
@@ -243,6 +243,6 @@
     note_failure(tables, opening.tried[-1], now)
     reason = RefusalReason.OPENING_TIMEOUT
     if opening.deadline <= now:
-        give_up(tables, flow, opening, reason, now, actions)
+        refuse_opening(tables, flow, opening, reason, now, actions)
         return
     retry_opening(tables, flow, opening, reason, now, actions)
--- a/citronspring/systems/ownership.py
+++ b/citronspring/systems/ownership.py
@@ -5,7 +5,12 @@
 from typing import TYPE_CHECKING
 
 from citronspring.entities import HostState
-from citronspring.systems.binding import BACKUP_LIFETIME, COUNTED_STATES, count, owns
+from citronspring.systems.binding import (
+    BACKUP_LIFETIME,
+    COUNTED_STATES,
+    adjust_open_flows,
+    is_owner,
+)
 from citronspring.tables import FlowState
 
 if TYPE_CHECKING:
@@ -17,7 +22,7 @@
 OWNING_STATES = (HostState.ALIVE, HostState.SUSPECT)
 
 
-def renew_ring(tables: Tables, now: float) -> None:
+def update_owners(tables: Tables, now: float) -> None:
     """Bring owners in line with the membership view."""
     members = [
         host_id
@@ -25,13 +30,13 @@
         if row.host.group == tables.group and row.state in OWNING_STATES
     ]
     # The last host keeps what it has: to own nothing would drop every packet.
-    if tables.ring.update(members or [tables.host_id]):
+    if tables.owners.update(members or [tables.host_id]):
         tables.counters["ring.changes"] += 1
         for flow, row in tables.flows.rows.items():
-            resort_flow(tables, flow, row, now)
+            demote_flow(tables, flow, row, now)
 
 
-def resort_flow(tables: Tables, flow: FlowKey, row: FlowRow, now: float) -> None:
+def demote_flow(tables: Tables, flow: FlowKey, row: FlowRow, now: float) -> None:
     """Stop counting a flow that another host owns now.
 
     A flow counted by its old and its new owner would show its target as fuller
@@ -39,8 +44,8 @@
     a packet shows that the flow lives: nothing told its holder of flows that ended,
     and all of them at once would look like a full account.
     """
-    if row.state in COUNTED_STATES and not owns(tables, flow):
-        count(row, -1)
+    if row.state in COUNTED_STATES and not is_owner(tables, flow):
+        adjust_open_flows(row, -1)
         row.state = FlowState.BACKUP
         row.deadline = min(row.deadline, now + BACKUP_LIFETIME)
         tables.openings.pop(flow, None)
--- a/citronspring/systems/placement.py
+++ b/citronspring/systems/placement.py
@@ -1,6 +1,6 @@
 """Which targets a flow may be on, and which one a new flow is given to.
 
-A new flow goes only to one of the ``WINDOW`` highest-ranked targets that took new
+A new flow goes only to one of the ``PLACEMENT_WINDOW`` highest-ranked targets that took new
 flows at some revision. So a host that never saw the flow can list every place it
 may live from the configuration alone, see `possible_targets`.
 """
@@ -12,7 +12,7 @@
 from xxhash import xxh64_intdigest
 
 from citronspring.messages import RefusalReason
-from citronspring.systems.health import is_out, weight_of
+from citronspring.systems.health import is_excluded, load_factor
 from citronspring.systems.limits import has_room
 
 if TYPE_CHECKING:
@@ -21,11 +21,11 @@
 
 #: Ranked targets among which the least loaded is chosen. More spread load better
 #: and lengthen the walk for a flow whose owner was lost.
-CANDIDATES = 4
+COMPARED_TARGETS = 4
 
 #: No flow is ever placed below this rank, whatever is ejected or full. It bounds
 #: the walk: each generation of the target set adds at most this many.
-WINDOW = 16
+PLACEMENT_WINDOW = 16
 
 #: Up to this many targets, every one is a candidate.
 ALL_CANDIDATES = 8
@@ -58,10 +58,10 @@
         for row in account.targets
         if row.target.leaving_revision is None and row.placeable_from <= now
     ]
-    return rank_targets(flow, placeable)[:WINDOW]
+    return rank_targets(flow, placeable)[:PLACEMENT_WINDOW]
 
 
-def own_factor(tables: Tables) -> float:
+def own_flow_weight(tables: Tables) -> float:
     """Return how many flows over all hosts one flow of this host stands for.
 
     All owners see the same target as the emptiest. Did each make up the whole
@@ -69,16 +69,16 @@
     what peers told counts by a part, and not at all once it is old.
     """
     weight = tables.loads.weight
-    hosts = len(tables.ring.members)
+    hosts = len(tables.owners.members)
     return (1.0 - weight) * hosts + weight * (1 + tables.silent_peers)
 
 
-def flows_on(tables: Tables, row: TargetRow) -> float:
+def estimated_flows(tables: Tables, row: TargetRow) -> float:
     """Return the open flows of a target over all hosts, as far as known."""
-    return row.flows * own_factor(tables) + row.remote_flows * tables.loads.weight
+    return row.flows * own_flow_weight(tables) + row.remote_flows * tables.loads.weight
 
 
-def usable(
+def usable_targets(
     tables: Tables, window: list[TargetRow], free: list[TargetRow], now: float
 ) -> list[TargetRow]:
     """Return the targets with room that health lets new flows go to.
@@ -87,22 +87,22 @@
     may lie with this host's view, and the few left would be overrun. They then
     still go first, until they carry ``PANIC_LOAD`` times the mean.
     """
-    standing = [row for row in window if not is_out(tables, row, now)]
+    standing = [row for row in window if not is_excluded(tables, row, now)]
     if len(standing) == len(window):
         return free
     healthy = [row for row in free if row in standing]
     if 2 * len(standing) >= len(window):
         return healthy
-    mean = sum(flows_on(tables, row) for row in window) / len(window)
+    mean = sum(estimated_flows(tables, row) for row in window) / len(window)
     ceiling = PANIC_LOAD * (mean + 1.0)
-    calm = [row for row in healthy if flows_on(tables, row) <= ceiling]
+    calm = [row for row in healthy if estimated_flows(tables, row) <= ceiling]
     return calm or free
 
 
-def may_take(tables: Tables, row: TargetRow, now: float) -> bool:
+def accepts_new_flow(tables: Tables, row: TargetRow, now: float) -> bool:
     """Whether configuration, health and limits let the target take a new flow."""
     configured = not row.target.leaving and row.placeable_from <= now
-    sound = not is_out(tables, row, now)
+    sound = not is_excluded(tables, row, now)
     return configured and sound and has_room(tables, row)
 
 
@@ -118,8 +118,8 @@
     if window and not tried and flow[0] != UDP:
         # Mostly nothing is wrong with the least loaded of all, and no need to look
         # at the others' health and room.
-        best = least_loaded(tables, among(window, window), now)
-        if has_room(tables, best) and not is_out(tables, best, now):
+        best = least_loaded(tables, compared_targets(window, window), now)
+        if has_room(tables, best) and not is_excluded(tables, best, now):
             return best
     untried = [row for row in window if row not in tried]
     if not untried:
@@ -127,34 +127,36 @@
     free = [row for row in untried if has_room(tables, row)]
     if not free:
         return RefusalReason.TARGETS_FULL
-    eligible = usable(tables, window, free, now)
+    eligible = usable_targets(tables, window, free, now)
     if not eligible:
         return RefusalReason.NO_HEALTHY_TARGET
-    candidates = among(window, eligible)
+    candidates = compared_targets(window, eligible)
     if flow[0] == UDP:
         return first_within_bound(tables, candidates)
     return least_loaded(tables, candidates, now)
 
 
-def among(window: list[TargetRow], eligible: list[TargetRow]) -> list[TargetRow]:
+def compared_targets(
+    window: list[TargetRow], eligible: list[TargetRow]
+) -> list[TargetRow]:
     """Return the eligible targets that are compared by load."""
-    return eligible if len(window) <= ALL_CANDIDATES else eligible[:CANDIDATES]
+    return eligible if len(window) <= ALL_CANDIDATES else eligible[:COMPARED_TARGETS]
 
 
 def least_loaded(tables: Tables, candidates: list[TargetRow], now: float) -> TargetRow:
     """Return the least full candidate; of equals, the first in this host's zone.
 
-    What `flows_on` and `weight_of` say stands here without calls: this loop is a
+    What `estimated_flows` and `load_factor` say stands here without calls: this loop is a
     fifth of what a new flow costs.
     """
-    own, told = own_factor(tables), tables.loads.weight
+    own, told = own_flow_weight(tables), tables.loads.weight
     zone = tables.zone
     best, lightest = candidates[0], float("inf")
     for row in candidates:
         flows = row.flows * own + row.remote_flows * told + 1.0
         load = flows / row.target.max_connections
-        if row.health.notes is not None or row.warm_at > now:
-            load *= weight_of(row, now)
+        if row.health.prober_reports is not None or row.warm_at > now:
+            load *= load_factor(row, now)
         if load > lightest:
             continue
         if load < lightest or row.target.zone == zone != best.target.zone:
@@ -164,11 +166,11 @@
 
 def first_within_bound(tables: Tables, candidates: list[TargetRow]) -> TargetRow:
     """Return the first-ranked candidate that is not loaded far above the mean."""
-    total = sum(flows_on(tables, row) for row in candidates)
+    total = sum(estimated_flows(tables, row) for row in candidates)
     mean = (total + 1) / len(candidates)
     bound = DATAGRAM_LOAD_BOUND * mean + DATAGRAM_SLACK
     for row in candidates:
-        if flows_on(tables, row) <= bound:
+        if estimated_flows(tables, row) <= bound:
             return row
     return candidates[0]
 
@@ -177,22 +179,22 @@
     """Return, likeliest first, every target an unknown flow can live on.
 
     A target qualifies if at some revision of its interval [added, leaving) fewer
-    than ``WINDOW`` placeable targets outranked it. Targets removed for good are
+    than ``PLACEMENT_WINDOW`` placeable targets outranked it. Targets removed for good are
     no longer counted against lower ranks, which can only lengthen the list. With
     n targets grown from m, it holds about ``WINDOW * (1 + ln(n / m))`` of them.
     """
-    if len(account.targets) <= WINDOW:
+    if len(account.targets) <= PLACEMENT_WINDOW:
         return rank_targets(flow, account.targets)
     revisions = generation_starts(account)
     higher = dict.fromkeys(revisions, 0)
     possible: list[TargetRow] = []
     for row in rank_targets(flow, account.targets):
         placeable_at = [rev for rev in revisions if was_placeable(row, rev)]
-        if any(higher[rev] < WINDOW for rev in placeable_at):
+        if any(higher[rev] < PLACEMENT_WINDOW for rev in placeable_at):
             possible.append(row)
         for rev in placeable_at:
             higher[rev] += 1
-        if all(count >= WINDOW for count in higher.values()):
+        if all(count >= PLACEMENT_WINDOW for count in higher.values()):
             break
     return possible
 
--- a/citronspring/systems/relays.py
+++ b/citronspring/systems/relays.py
@@ -9,10 +9,10 @@
 from citronspring.systems.binding import (
     COUNTED_STATES,
     TCP,
+    backup_deadline,
     bind,
-    bind_found,
-    copy_deadline,
-    owns,
+    bind_learned,
+    is_owner,
 )
 from citronspring.systems.services import target_of
 from citronspring.tables import FlowState
@@ -29,8 +29,12 @@
     """As second-ranked host, keep a copy of the owner's binding and forward."""
     assert event.packet is not None
     proposed = target_of(tables, event.flow, event.target_id)
-    row = known(tables, event.flow)
-    if row is not None and row.target is not proposed and prevails(row, event.packet):
+    row = known_flow(tables, event.flow)
+    if (
+        row is not None
+        and row.target is not proposed
+        and takes_precedence(row, event.packet)
+    ):
         actions.append(SendToTarget(row.target.target.target_id, event.packet))
         actions.append(bind_message(event, row.target))
         return
@@ -43,11 +47,11 @@
         if tables.flows.rows.has_room(proposed.account, tables.max_flows):
             bind(tables, event.flow, proposed, FlowState.BACKUP, now)
     elif row.state == FlowState.BACKUP:
-        row.deadline = copy_deadline(event.flow, proposed.account, now)
+        row.deadline = backup_deadline(event.flow, proposed.account, now)
     actions.append(SendToTarget(proposed.target.target_id, event.packet))
 
 
-def prevails(row: FlowRow, packet: Packet) -> bool:
+def takes_precedence(row: FlowRow, packet: Packet) -> bool:
     """Whether this host's binding goes before another one that is proposed.
 
     It does if this host counts the flow as its own: it was the owner until a moment
@@ -66,12 +70,10 @@
     return Relay(RelayKind.BIND, event.sender, event.flow, target_id=target_id)
 
 
-def answer_question(
-    tables: Tables, event: RelayReceived, actions: list[Action]
-) -> None:
+def answer_query(tables: Tables, event: RelayReceived, actions: list[Action]) -> None:
     """Forward a packet the owner asks about, or say the flow is not known here."""
     assert event.packet is not None
-    row = known(tables, event.flow)
+    row = known_flow(tables, event.flow)
     if row is None:
         actions.append(Relay(RelayKind.UNKNOWN, event.sender, event.flow))
         return
@@ -79,15 +81,15 @@
     actions.append(bind_message(event, row.target))
 
 
-def known(tables: Tables, flow: FlowKey) -> FlowRow | None:
+def known_flow(tables: Tables, flow: FlowKey) -> FlowRow | None:
     """Return the row of a flow that is neither closed nor in doubt."""
     row = tables.flows.rows.get(flow)
-    if row is None or row.state in (FlowState.CLOSING, FlowState.DOUBTED):
+    if row is None or row.state in (FlowState.CLOSING, FlowState.CONTRADICTED):
         return None
     return row
 
 
-def take_binding(
+def receive_binding(
     tables: Tables, event: RelayReceived, now: float, actions: list[Action]
 ) -> None:
     """Take over a binding that another host knew.
@@ -100,15 +102,15 @@
         return
     flow = event.flow
     opening = tables.openings.get(flow)
-    if flow in tables.walks:
-        end_walk_by_binding(tables, flow, target, now, actions)
+    if flow in tables.searches:
+        end_search_by_binding(tables, flow, target, now, actions)
     elif opening is not None and opening.answer_seq is None:
         move_opening(tables, flow, opening, target, now)
-    elif not owns(tables, flow):
-        take_copy(tables, flow, target, now)
+    elif not is_owner(tables, flow):
+        store_backup(tables, flow, target, now)
 
 
-def end_walk_by_binding(
+def end_search_by_binding(
     tables: Tables,
     flow: FlowKey,
     target: TargetRow,
@@ -116,10 +118,10 @@
     actions: list[Action],
 ) -> None:
     """Let the packets go that were held; the first one the other host has sent."""
-    walk = tables.walks[flow]
-    del tables.walks[flow]
-    bind_found(tables, flow, target, now)
-    for packet in walk.packets[1:]:
+    search = tables.searches[flow]
+    del tables.searches[flow]
+    bind_learned(tables, flow, target, now)
+    for packet in search.packets[1:]:
         actions.append(SendToTarget(target.target.target_id, packet))
 
 
@@ -135,8 +137,8 @@
         del tables.openings[flow]
 
 
-def take_copy(tables: Tables, flow: FlowKey, target: TargetRow, now: float) -> None:
+def store_backup(tables: Tables, flow: FlowKey, target: TargetRow, now: float) -> None:
     """Keep a copy of the binding the owner changed."""
-    row = known(tables, flow)
+    row = known_flow(tables, flow)
     if row is None or row.state == FlowState.BACKUP:
         bind(tables, flow, target, FlowState.BACKUP, now)
--- a/citronspring/systems/spread.py
+++ b/citronspring/systems/replication.py
@@ -14,9 +14,13 @@
 from citronspring.entities import HostState
 from citronspring.messages import ReadPlatform, SendControl
 from citronspring.rendezvous import ranked
-from citronspring.systems.bulk import join_pieces, offer_bulk, slices
 from citronspring.systems.dissemination import present_hosts
 from citronspring.systems.revisions import apply_records, apply_snapshot
+from citronspring.systems.snapshot_transfer import (
+    join_account_pieces,
+    send_snapshot_parts,
+    split_account,
+)
 
 if TYPE_CHECKING:
     from citronspring.entities import ChangeRecord, Snapshot
@@ -26,26 +30,26 @@
 Row = TypeVar("Row")
 
 #: Applied records that are kept to fill other hosts' gaps.
-RECENT_RECORDS = 256
+MAX_RECENT_RECORDS = 256
 
 #: Records and pieces that may wait for an earlier record.
-EARLY_RECORDS = 256
+MAX_OUT_OF_ORDER_RECORDS = 256
 
 #: Messages a new record goes out with from each host.
-PUSHES = 4
+MAX_PUSHES = 4
 
 #: Seconds between two rounds of pushes, and hosts a record goes to in one.
 PUSH_INTERVAL = 0.2
 PUSH_FANOUT = 2
 
 #: Records pushed in one round, the oldest first.
-PUSHED_RECORDS = 4
+RECORDS_PER_PUSH = 4
 
 #: Seconds a peer has to fill a gap before another is asked.
 REQUEST_INTERVAL = 0.25
 
 #: Records in one answer to a request.
-ANSWERED_RECORDS = 8
+RECORDS_PER_ANSWER = 8
 
 #: Hosts of a zone that read the platform. One would do; two let one die unnoticed.
 READERS_PER_ZONE = 2
@@ -57,34 +61,36 @@
 READ_INTERVAL = 10.0
 
 #: Seconds without a word from any peer after which a host reads for itself.
-ALONE_TIME = 1.5
+ISOLATION_TIMEOUT = 1.5
 
 
 # On time -----------------------------------------------------------------------
 
 
-def run_spread(tables: Tables, now: float, actions: list[Action]) -> None:
+def run_replication(tables: Tables, now: float, actions: list[Action]) -> None:
     """Push what is new, choose readers and have them read."""
-    spread = tables.spread
-    if now >= spread.next_push_at:
-        spread.next_push_at = now + PUSH_INTERVAL
+    replication = tables.replication
+    if now >= replication.next_push_at:
+        replication.next_push_at = now + PUSH_INTERVAL
         push(tables, actions)
-    if now >= spread.choose_readers_at and knows_members(tables, now):
-        spread.choose_readers_at = now + CHOOSE_INTERVAL
+    if now >= replication.choose_readers_at and has_member_list(tables, now):
+        replication.choose_readers_at = now + CHOOSE_INTERVAL
         choose_readers(tables, now)
-    if (spread.is_reader or is_alone(tables, now)) and now >= spread.read_at:
-        spread.read_at = now + READ_INTERVAL
+    if (
+        replication.is_reader or is_isolated(tables, now)
+    ) and now >= replication.read_at:
+        replication.read_at = now + READ_INTERVAL
         actions.append(ReadPlatform(tables.revision))
 
 
-def knows_members(tables: Tables, now: float) -> bool:
+def has_member_list(tables: Tables, now: float) -> bool:
     """Whether the member list is here, or nobody seems to have one.
 
     A host that knows only its seeds would take itself for a reader: a fleet that
     starts at once would then call the platform from every host.
     """
     join = tables.membership.join
-    return join is None or join.last or is_alone(tables, now)
+    return join is None or join.last or is_isolated(tables, now)
 
 
 def choose_readers(tables: Tables, now: float) -> None:
@@ -101,24 +107,24 @@
     ]
     order = ranked(f"reader:{tables.zone}".encode(), candidates)
     chosen = tables.host_id in order[:READERS_PER_ZONE]
-    if chosen and not tables.spread.is_reader:
-        tables.spread.read_at = now
-    tables.spread.is_reader = chosen
+    if chosen and not tables.replication.is_reader:
+        tables.replication.read_at = now
+    tables.replication.is_reader = chosen
 
 
-def is_alone(tables: Tables, now: float) -> bool:
+def is_isolated(tables: Tables, now: float) -> bool:
     """Whether no peer could have told this host of a change for a while."""
     heard_at = tables.membership.heard_at
     started_at = tables.membership.started_at
     last = started_at if heard_at is None else heard_at
-    return last is not None and now - last >= ALONE_TIME
+    return last is not None and now - last >= ISOLATION_TIMEOUT
 
 
 def push(tables: Tables, actions: list[Action]) -> None:
     """Send new records to hosts that are not known to have them."""
-    spread = tables.spread
-    for revision in sorted(spread.pushes)[:PUSHED_RECORDS]:
-        row = spread.pushes[revision]
+    replication = tables.replication
+    for revision in sorted(replication.pushes)[:RECORDS_PER_PUSH]:
+        row = replication.pushes[revision]
         behind = [
             host_id
             for host_id in present_hosts(tables)
@@ -127,8 +133,8 @@
         for peer in sample(tables.membership.rng, behind, PUSH_FANOUT):
             send_records(peer, (row.record,), actions)
             row.sent += 1
-        if not behind or row.sent >= PUSHES:
-            del spread.pushes[revision]
+        if not behind or row.sent >= MAX_PUSHES:
+            del replication.pushes[revision]
 
 
 def send_records(
@@ -144,7 +150,7 @@
     """Return the messages that carry one record."""
     if record.account is None:
         return [Records((record,))]
-    pieces = slices(record.account)
+    pieces = split_account(record.account)
     return [
         Records((replace(record, account=piece),), part, len(pieces))
         for part, piece in enumerate(pieces)
@@ -154,7 +160,7 @@
 # On messages -------------------------------------------------------------------
 
 
-def hear_of_revision(
+def note_peer_revision(
     tables: Tables, sender: str, revision: int, now: float, actions: list[Action]
 ) -> None:
     """Note a peer's revision, and ask for what is missing here."""
@@ -168,10 +174,10 @@
     tables: Tables, peer: str, now: float, actions: list[Action]
 ) -> None:
     """Ask a peer for the records that follow, unless another was asked just now."""
-    spread = tables.spread
-    if now < spread.request_at or spread.bulk is not None:
+    replication = tables.replication
+    if now < replication.request_at or replication.bulk is not None:
         return
-    spread.request_at = now + REQUEST_INTERVAL
+    replication.request_at = now + REQUEST_INTERVAL
     actions.append(SendControl(peer, RecordsRequest(tables.revision)))
 
 
@@ -183,14 +189,14 @@
     actions: list[Action],
 ) -> None:
     """Send the records that follow; a whole copy where they are no longer kept."""
-    recent = tables.spread.recent
+    recent = tables.replication.recent
     first = message.after_revision + 1
     if first > tables.revision:
         return
     if first not in recent:
-        offer_bulk(tables, sender, SnapshotRequest(0, 0), now, actions)
+        send_snapshot_parts(tables, sender, SnapshotRequest(0, 0), now, actions)
         return
-    last = min(tables.revision, message.after_revision + ANSWERED_RECORDS)
+    last = min(tables.revision, message.after_revision + RECORDS_PER_ANSWER)
     records = tuple(recent[revision] for revision in range(first, last + 1))
     send_records(sender, records, actions)
 
@@ -199,23 +205,23 @@
     tables: Tables, sender: str, message: Records, now: float, actions: list[Action]
 ) -> None:
     """Take records, or one piece of a large one."""
-    records = take_piece(tables, message) if message.parts > 1 else message.records
+    records = collect_piece(tables, message) if message.parts > 1 else message.records
     if records:
         last = max(record.revision for record in records)
         row = tables.hosts[sender]
         row.revision = max(row.revision, last)
     accept_records(tables, records, now)
-    if tables.spread.out_of_order:
+    if tables.replication.out_of_order:
         ask_for_records(tables, sender, now, actions)
 
 
-def take_piece(tables: Tables, message: Records) -> tuple[ChangeRecord, ...]:
+def collect_piece(tables: Tables, message: Records) -> tuple[ChangeRecord, ...]:
     """Keep one piece; return the record once all are here."""
     record = message.records[0]
-    pieces = tables.spread.pieces
+    pieces = tables.replication.pieces
     if record.revision <= tables.revision or record.account is None:
         return ()
-    if record.revision not in pieces and len(pieces) >= EARLY_RECORDS:
+    if record.revision not in pieces and len(pieces) >= MAX_OUT_OF_ORDER_RECORDS:
         pieces.pop(max(pieces))
     received = pieces.setdefault(record.revision, {})
     received[message.part] = message
@@ -223,7 +229,9 @@
         return ()
     del pieces[record.revision]
     accounts = [received[part].records[0].account for part in sorted(received)]
-    [whole] = join_pieces([account for account in accounts if account is not None])
+    [whole] = join_account_pieces(
+        [account for account in accounts if account is not None]
+    )
     return (replace(record, account=whole),)
 
 
@@ -234,25 +242,25 @@
     tables: Tables, records: tuple[ChangeRecord, ...], now: float
 ) -> None:
     """Apply records in order; what comes too early waits for the gap to fill."""
-    spread = tables.spread
+    replication = tables.replication
     for record in records:
         if record.revision > tables.revision:
-            spread.out_of_order[record.revision] = record
-    while len(spread.out_of_order) > EARLY_RECORDS:
-        del spread.out_of_order[max(spread.out_of_order)]
-    while tables.revision + 1 in spread.out_of_order:
-        following = spread.out_of_order.pop(tables.revision + 1)
+            replication.out_of_order[record.revision] = record
+    while len(replication.out_of_order) > MAX_OUT_OF_ORDER_RECORDS:
+        del replication.out_of_order[max(replication.out_of_order)]
+    while tables.revision + 1 in replication.out_of_order:
+        following = replication.out_of_order.pop(tables.revision + 1)
         apply_records(tables, (following,), now)
-        remember(tables, following)
+        keep_record(tables, following)
 
 
-def remember(tables: Tables, record: ChangeRecord) -> None:
+def keep_record(tables: Tables, record: ChangeRecord) -> None:
     """Keep an applied record for others, and push it on."""
-    spread = tables.spread
-    spread.recent[record.revision] = record
-    spread.recent.pop(record.revision - RECENT_RECORDS, None)
-    spread.pushes[record.revision] = PushRow(record)
-    spread.pieces.pop(record.revision, None)
+    replication = tables.replication
+    replication.recent[record.revision] = record
+    replication.recent.pop(record.revision - MAX_RECENT_RECORDS, None)
+    replication.pushes[record.revision] = PushRow(record)
+    replication.pieces.pop(record.revision, None)
     tables.counters["revisions.applied"] += 1
 
 
@@ -260,13 +268,13 @@
     """Take a whole configuration, then the records that waited for it."""
     if not apply_snapshot(tables, snapshot, now):
         return
-    spread = tables.spread
+    replication = tables.replication
     # Records before the copy are not known here: a range with a gap would make
     # a peer skip what is missing.
-    spread.recent.clear()
-    spread.pushes.clear()
-    drop_old(spread.out_of_order, tables.revision)
-    drop_old(spread.pieces, tables.revision)
+    replication.recent.clear()
+    replication.pushes.clear()
+    drop_old(replication.out_of_order, tables.revision)
+    drop_old(replication.pieces, tables.revision)
     accept_records(tables, (), now)
 
 
--- a/citronspring/systems/revisions.py
+++ b/citronspring/systems/revisions.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from citronspring.rendezvous import service_key
-from citronspring.systems.binding import forget
-from citronspring.systems.health import RAMP_TIME
+from citronspring.systems.binding import remove_flow
+from citronspring.systems.health import SLOW_START_TIME
 from citronspring.systems.services import (
     claim_address,
     release_addresses,
@@ -43,7 +43,7 @@
         remove_account(tables, account_id)
     for account in snapshot.accounts:
         put_account(tables, account, now, first)
-    note_revision(tables, snapshot.revision)
+    set_revision(tables, snapshot.revision)
     return True
 
 
@@ -60,11 +60,11 @@
             remove_account(tables, record.account_id)
         else:
             put_account(tables, record.account, now)
-        note_revision(tables, record.revision)
+        set_revision(tables, record.revision)
     return True
 
 
-def note_revision(tables: Tables, revision: int) -> None:
+def set_revision(tables: Tables, revision: int) -> None:
     """Move this host's revision up."""
     tables.revision = revision
     tables.me.revision = revision
@@ -101,9 +101,9 @@
     known_to_all = old_generations(row.account) if first else frozenset()
     # Shared by the targets: a float of its own for each would cost an idle
     # account more than its row.
-    at_once = StartTimes(now, now + RAMP_TIME)
+    at_once = StartTimes(now, now + SLOW_START_TIME)
     later = now + PLACEMENT_DELAY
-    delayed = StartTimes(later, later + RAMP_TIME)
+    delayed = StartTimes(later, later + SLOW_START_TIME)
     for target in row.account.targets:
         known = target.added_revision in known_to_all
         put_target(tables, row, target, at_once if known else delayed)
@@ -138,12 +138,12 @@
         existing.warm_at = times.warm_at
         tables.targets[target.target_id] = existing
         row.targets.append(existing)
-    forget_tunnel(tables, existing)
+    remove_tunnel_address(tables, existing)
     existing.target = target
     tables.targets_by_ip[target.tunnel.ip] = target.target_id
 
 
-def forget_tunnel(tables: Tables, row: TargetRow) -> None:
+def remove_tunnel_address(tables: Tables, row: TargetRow) -> None:
     """Forget a target's tunnel address, unless another target has it by now."""
     ip = row.target.tunnel.ip
     if tables.targets_by_ip.get(ip) == row.target.target_id:
@@ -153,11 +153,11 @@
 def remove_target(tables: Tables, gone: TargetRow) -> None:
     """Forget a target that was removed for good, and the flows bound to it."""
     tables.targets.pop(gone.target.target_id, None)
-    forget_tunnel(tables, gone)
+    remove_tunnel_address(tables, gone)
     gone.account.targets.remove(gone)
     bound = [flow for flow, row in tables.flows.rows.items() if row.target is gone]
     for flow in bound:
-        forget(tables, flow)
+        remove_flow(tables, flow)
 
 
 def remove_account(tables: Tables, account_id: str) -> None:
--- a/citronspring/systems/routing.py
+++ b/citronspring/systems/routing.py
@@ -14,40 +14,40 @@
     RelayKind,
     SendToTarget,
 )
-from citronspring.systems.answers import take_answer
+from citronspring.systems.answers import receive_answer
 from citronspring.systems.binding import (
     FIN_FROM_CALLER,
     TCP,
+    backup_deadline,
     close,
-    copy_deadline,
-    forget,
     idle_deadline,
+    is_owner,
     note_fin,
-    owns,
     promote,
+    remove_flow,
 )
-from citronspring.systems.hints import STATE_FLAGS, offer_hint, take_hint, use_hint
+from citronspring.systems.flow_search import (
+    CONFIRM_WINDOW,
+    begin_search,
+    has_newest_revision,
+    hold_packet,
+    receive_unknown,
+    within_window,
+)
+from citronspring.systems.hints import STATE_FLAGS, offer_hint, receive_hint, use_hint
 from citronspring.systems.limits import RETRY_AFTER
 from citronspring.systems.openings import (
-    forward_by_second,
+    forward_via_backup,
     open_flow,
     reopen_flow,
 )
 from citronspring.systems.placement import possible_targets
 from citronspring.systems.relays import (
-    answer_question,
+    answer_query,
     bind_message,
     confirm_proposal,
-    known,
-    take_binding,
-)
-from citronspring.systems.second_chance import (
-    CONFIRM_WINDOW,
-    begin_walk,
-    hold,
-    is_certain,
-    near,
-    second_does_not_know,
+    known_flow,
+    receive_binding,
 )
 from citronspring.systems.services import account_of, is_retired, target_of
 from citronspring.tables import FlowState
@@ -58,7 +58,7 @@
 
 
 #: States in which a caller's packets simply go to the bound target.
-SETTLED_STATES = frozenset((FlowState.ESTABLISHED, FlowState.UNPROVEN))
+SETTLED_STATES = frozenset((FlowState.ESTABLISHED, FlowState.UNVERIFIED))
 
 
 def receive_packet(
@@ -74,14 +74,14 @@
         if source is None:
             actions.append(Drop(DropReason.FOREIGN_SOURCE))
             return
-    owner = tables.ring.pair(packet.flow)[0]
+    owner = tables.owners.owner_and_backup(packet.flow)[0]
     if owner == tables.host_id:
-        decide(tables, packet, source, now, actions)
+        handle_as_owner(tables, packet, source, now, actions)
     else:
-        pass_on(tables, packet, source, owner, now, actions)
+        relay_to_owner(tables, packet, source, owner, now, actions)
 
 
-def pass_on(
+def relay_to_owner(
     tables: Tables,
     packet: Packet,
     source: TargetRow | None,
@@ -112,35 +112,35 @@
             if event.source and source is None:
                 actions.append(Drop(DropReason.FOREIGN_SOURCE))
                 return
-            decide(tables, event.packet, source, now, actions)
+            handle_as_owner(tables, event.packet, source, now, actions)
             offer_hint(tables, event, actions)
         case RelayKind.PROPOSE:
             confirm_proposal(tables, event, now, actions)
-        case RelayKind.ASK:
-            take_question(tables, event, now, actions)
+        case RelayKind.QUERY:
+            receive_query(tables, event, now, actions)
         case RelayKind.UNKNOWN:
-            second_does_not_know(tables, event.flow, now, actions)
+            receive_unknown(tables, event.flow, now, actions)
         case RelayKind.BIND:
-            take_binding(tables, event, now, actions)
+            receive_binding(tables, event, now, actions)
         case RelayKind.HINT:
-            take_hint(tables, event, now)
+            receive_hint(tables, event, now)
 
 
-def take_question(
+def receive_query(
     tables: Tables, event: RelayReceived, now: float, actions: list[Action]
 ) -> None:
     """Answer a question about a flow, or take over a packet of one's own flow."""
     assert event.packet is not None
-    if not owns(tables, event.flow):
-        answer_question(tables, event, actions)
+    if not is_owner(tables, event.flow):
+        answer_query(tables, event, actions)
         return
-    decide(tables, event.packet, None, now, actions)
-    row = known(tables, event.flow)
-    if row is not None and row.state in (FlowState.ESTABLISHED, FlowState.UNPROVEN):
+    handle_as_owner(tables, event.packet, None, now, actions)
+    row = known_flow(tables, event.flow)
+    if row is not None and row.state in (FlowState.ESTABLISHED, FlowState.UNVERIFIED):
         actions.append(bind_message(event, row.target))
 
 
-def decide(
+def handle_as_owner(
     tables: Tables,
     packet: Packet,
     source: TargetRow | None,
@@ -153,14 +153,14 @@
         if row is None:
             open_or_search(tables, packet, now, actions)
         else:
-            forward_known(tables, row, packet, now, actions)
+            forward_known_flow(tables, row, packet, now, actions)
     elif source is None:
         actions.append(Drop(DropReason.FOREIGN_SOURCE))
     else:
-        take_answer(tables, row, source, packet, now, actions)
+        receive_answer(tables, row, source, packet, now, actions)
 
 
-def forward_known(
+def forward_known_flow(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
     """Forward a caller's packet of a flow that has a row."""
@@ -168,15 +168,15 @@
     flow = packet.flow
     if flow[0] != TCP:
         forward_datagram(tables, row, packet, now, actions)
-    elif packet.flags & SYN and begins_anew(tables, row, packet):
-        reopen(tables, row, packet, now, actions)
+    elif packet.flags & SYN and opens_new_flow(tables, row, packet):
+        reopen_known_flow(tables, row, packet, now, actions)
     elif state in SETTLED_STATES:
         account = row.target.account
         if now >= account.deadlines_renewed_until:
             account.renew_deadlines(now)
         row.deadline = account.tcp_deadline
         if packet.flags & STATE_FLAGS:
-            follow_caller_state(tables, row, packet, now)
+            track_caller_state(tables, row, packet, now)
         actions.append(SendToTarget(row.target.target.target_id, packet))
     else:
         forward_unsettled(tables, row, packet, now, actions)
@@ -189,27 +189,27 @@
     pinned = SendToTarget(row.target.target.target_id, packet)
     opens = packet.flags & (SYN | RST)
     match row.state:
-        case FlowState.DOUBTED:
-            search_in_doubt(tables, row, packet, now, actions)
+        case FlowState.CONTRADICTED:
+            discard_binding_and_search(tables, row, packet, now, actions)
         case FlowState.CLOSING:
             # Last acknowledgements: the pinned target expects them.
             actions.append(pinned)
         case FlowState.BACKUP:
-            row.deadline = copy_deadline(packet.flow, row.target.account, now)
+            row.deadline = backup_deadline(packet.flow, row.target.account, now)
             promote(tables, packet.flow, row)
-            follow_caller_state(tables, row, packet, now)
+            track_caller_state(tables, row, packet, now)
             actions.append(pinned)
         case FlowState.ANSWERED if not opens:
             confirm_opening(tables, row, packet, now, actions)
         case FlowState.OPENING if not opens:
-            wrong_target(tables, row, packet, now, actions)
+            handle_wrong_target(tables, row, packet, now, actions)
         case _:
             row.deadline = idle_deadline(packet.flow, row.target.account, now)
-            follow_caller_state(tables, row, packet, now)
+            track_caller_state(tables, row, packet, now)
             actions.append(pinned)
 
 
-def begins_anew(tables: Tables, row: FlowRow, packet: Packet) -> bool:
+def opens_new_flow(tables: Tables, row: FlowRow, packet: Packet) -> bool:
     """Whether a SYN opens another flow of the tuple than the row's.
 
     What is known by hearsay may be of an earlier flow. A SYN on an established flow
@@ -222,12 +222,12 @@
     return row.state != FlowState.ESTABLISHED or row.target.target.leaving
 
 
-def reopen(
+def reopen_known_flow(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
     """Open a flow whose tuple has a row."""
-    if not owns(tables, packet.flow):
-        hand_over(tables, packet, actions)
+    if not is_owner(tables, packet.flow):
+        redirect_to_owner(tables, packet, actions)
         return
     account = row.target.account
     if is_retired(tables, packet.flow):
@@ -252,7 +252,7 @@
         opening.sent += 1
     if row.refresh_at <= now:
         row.refresh_at = row.target.account.refresh_deadline
-        forward_by_second(tables, row.target, packet, actions)
+        forward_via_backup(tables, row.target, packet, actions)
         return
     actions.append(SendToTarget(row.target.target.target_id, packet))
 
@@ -263,16 +263,16 @@
     """Take the caller's first acknowledgement: of this target's answer, or not."""
     opening = tables.openings.pop(packet.flow, None)
     answer_seq = None if opening is None else opening.answer_seq
-    if answer_seq is None or near(packet.ack, answer_seq + 1, CONFIRM_WINDOW):
+    if answer_seq is None or within_window(packet.ack, answer_seq + 1, CONFIRM_WINDOW):
         row.state = FlowState.ESTABLISHED
         row.deadline = idle_deadline(packet.flow, row.target.account, now)
-        follow_caller_state(tables, row, packet, now)
+        track_caller_state(tables, row, packet, now)
         actions.append(SendToTarget(row.target.target.target_id, packet))
         return
-    wrong_target(tables, row, packet, now, actions)
+    handle_wrong_target(tables, row, packet, now, actions)
 
 
-def wrong_target(
+def handle_wrong_target(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
     """Look for the target the caller really speaks with.
@@ -281,24 +281,24 @@
     other one's answer. Its packets would be reset by the target bound here.
     """
     tables.counters["openings.doubled"] += 1
-    search_in_doubt(tables, row, packet, now, actions)
+    discard_binding_and_search(tables, row, packet, now, actions)
 
 
-def search_in_doubt(
+def discard_binding_and_search(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
     """Forget a binding that was wrong, and search without asking for its copy."""
     account = row.target.account
-    forget(tables, packet.flow)
+    remove_flow(tables, packet.flow)
     if packet.flags & RST:
-        spread_caller_reset(account, packet, actions)
-    elif owns(tables, packet.flow):
-        begin_walk(tables, account, packet, now, actions, ask=False)
+        broadcast_caller_reset(account, packet, actions)
+    elif is_owner(tables, packet.flow):
+        begin_search(tables, account, packet, now, actions, ask=False)
     else:
-        hand_over(tables, packet, actions)
+        redirect_to_owner(tables, packet, actions)
 
 
-def follow_caller_state(
+def track_caller_state(
     tables: Tables, row: FlowRow, packet: Packet, now: float
 ) -> None:
     """Note a caller's FIN or RST."""
@@ -318,28 +318,28 @@
         refuse_unknown_service(tables, packet, now, actions)
     elif packet.unreachable:
         actions.append(Drop(DropReason.UNCERTAIN))
-    elif not owns(tables, packet.flow):
-        hand_over(tables, packet, actions)
+    elif not is_owner(tables, packet.flow):
+        redirect_to_owner(tables, packet, actions)
     elif opens:
-        tables.walks.pop(packet.flow, None)
+        tables.searches.pop(packet.flow, None)
         open_flow(tables, account, packet, now, actions)
     elif packet.flags & RST:
-        spread_caller_reset(account, packet, actions)
+        broadcast_caller_reset(account, packet, actions)
     else:
-        search(tables, account, packet, now, actions)
+        search_flow(tables, account, packet, now, actions)
 
 
-def hand_over(tables: Tables, packet: Packet, actions: list[Action]) -> None:
+def redirect_to_owner(tables: Tables, packet: Packet, actions: list[Action]) -> None:
     """Pass a packet that was relayed here in error on to the flow's owner.
 
     The sender's view lags, or this host's does. To place the flow here as well
     would place it twice. The owner relays a question no further, so no loop forms.
     """
-    owner = tables.ring.pair(packet.flow)[0]
+    owner = tables.owners.owner_and_backup(packet.flow)[0]
     if owner is None:
         actions.append(Drop(DropReason.NO_OWNER))
         return
-    actions.append(Relay(RelayKind.ASK, owner, packet.flow, packet))
+    actions.append(Relay(RelayKind.QUERY, owner, packet.flow, packet))
 
 
 def refuse_unknown_service(
@@ -350,14 +350,14 @@
     A host that has no configuration yet, or has heard of a newer one, cannot know
     that: its refusal would end an opening that every other host serves.
     """
-    if packet.flags & SYN and tables.revision and is_certain(tables):
+    if packet.flags & SYN and tables.revision and has_newest_revision(tables):
         retry_at = now + RETRY_AFTER
         actions.append(Refuse(packet, RefusalReason.NO_SERVICE, retry_at))
     else:
         actions.append(Drop(DropReason.UNKNOWN_SERVICE))
 
 
-def search(
+def search_flow(
     tables: Tables,
     account: AccountRow,
     packet: Packet,
@@ -365,14 +365,14 @@
     actions: list[Action],
 ) -> None:
     """Start or join the search for the target of an unknown flow."""
-    walk = tables.walks.get(packet.flow)
-    if walk is not None:
-        hold(tables, walk, packet, now, actions)
+    search_row = tables.searches.get(packet.flow)
+    if search_row is not None:
+        hold_packet(tables, search_row, packet, now, actions)
     else:
-        begin_walk(tables, account, packet, now, actions)
+        begin_search(tables, account, packet, now, actions)
 
 
-def spread_caller_reset(
+def broadcast_caller_reset(
     account: AccountRow, packet: Packet, actions: list[Action]
 ) -> None:
     """Give a caller's reset of an unknown flow to every target it may be on."""
--- a/citronspring/systems/services.py
+++ b/citronspring/systems/services.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from citronspring.rendezvous import service_key_of
-from citronspring.systems.binding import forget
+from citronspring.systems.binding import remove_flow
 
 if TYPE_CHECKING:
     from citronspring.entities import FlowKey, ServiceKey
@@ -54,9 +54,9 @@
         return
     rows = tables.flows.rows
     for flow in [flow for flow in rows if flow.startswith(key)]:
-        forget(tables, flow)
-    for flow in [flow for flow in tables.walks if flow.startswith(key)]:
-        del tables.walks[flow]
+        remove_flow(tables, flow)
+    for flow in [flow for flow in tables.searches if flow.startswith(key)]:
+        del tables.searches[flow]
     for flow in [flow for flow in tables.hints if flow.startswith(key)]:
         del tables.hints[flow]
 
--- a/citronspring/tables.py
+++ b/citronspring/tables.py
@@ -7,7 +7,7 @@
 from enum import IntEnum
 from typing import TYPE_CHECKING
 
-from citronspring.accounted import AccountedRows
+from citronspring.account_rows import AccountRows
 from citronspring.control.tables import (
     FenceRow,
     HashedRandomSource,
@@ -15,25 +15,31 @@
     SpreadTable,
 )
 from citronspring.entities import Account, FlowKey, Host, HostState, ServiceKey, Target
-from citronspring.load_rows import SOUND, HealthState, Lending, LoadTable, PacedLimit
-from citronspring.rendezvous import OwnerRing, seed_of
+from citronspring.load_rows import (
+    UNKNOWN_HEALTH,
+    GcraLimiter,
+    HealthState,
+    LoadTable,
+    QuotaLending,
+)
+from citronspring.rendezvous import OwnerTable, seed_of
 
 if TYPE_CHECKING:
     from citronspring.messages import Packet
 
 #: Seconds over which flows touched by packets share one deadline object. A flow
 #: lives up to this much shorter than configured and needs no float of its own.
-DEADLINE_GRAIN = 1.0
+DEADLINE_RESOLUTION = 1.0
 
 #: Seconds between two packets of a datagram flow that go by the second host, so
 #: that its copy of the binding does not run out before the flow does.
-REFRESH_INTERVAL = 30.0
+BACKUP_REFRESH_INTERVAL = 30.0
 
 #: Width in seconds of one bucket of the expiry wheel.
-WHEEL_GRAIN = 4.0
+WHEEL_BUCKET_WIDTH = 4.0
 
 #: Seconds after which a flow is looked at again, however long it may yet live.
-LOOK_INTERVAL = 64.0
+RECHECK_INTERVAL = 64.0
 
 
 class FlowState(IntEnum):
@@ -49,9 +55,9 @@
     #: A copy of the binding, held for the owner.
     BACKUP = 5
     #: Bound on another host's word; the target has not yet sent data of the flow.
-    UNPROVEN = 6
+    UNVERIFIED = 6
     #: Bound on another's word that a reset belied; the next packet starts a walk.
-    DOUBTED = 7
+    CONTRADICTED = 7
 
 
 @dataclass(slots=True, eq=False)
@@ -64,11 +70,11 @@
     #: Flows this host owns and that are not closed.
     open_flows: int = 0
     #: None while no owner is pressed.
-    lending: Lending | None = None
-    openings: PacedLimit = field(default_factory=PacedLimit)
+    lending: QuotaLending | None = None
+    openings: GcraLimiter = field(default_factory=GcraLimiter)
     #: Retries of openings that may still be made.
     retry_balance: float = 10.0
-    #: Shared deadline objects, renewed once a ``DEADLINE_GRAIN``.
+    #: Shared deadline objects, renewed once a ``DEADLINE_RESOLUTION``.
     tcp_deadline: float = 0.0
     udp_deadline: float = 0.0
     refresh_deadline: float = 0.0
@@ -81,8 +87,8 @@
         limits = self.account.limits
         self.tcp_deadline = now + limits.tcp_idle_timeout
         self.udp_deadline = now + limits.udp_idle_timeout
-        self.refresh_deadline = now + REFRESH_INTERVAL
-        self.deadlines_renewed_until = now + DEADLINE_GRAIN
+        self.refresh_deadline = now + BACKUP_REFRESH_INTERVAL
+        self.deadlines_renewed_until = now + DEADLINE_RESOLUTION
 
 
 @dataclass(slots=True, eq=False)
@@ -104,11 +110,11 @@
     #: When this host asks its health endpoint next, if it is one of the probers.
     probe_at: float = 0.0
     #: What is held against it; shared by all rows of which nothing is known.
-    health: HealthState = field(default_factory=lambda: SOUND)
+    health: HealthState = field(default_factory=lambda: UNKNOWN_HEALTH)
 
-    def own_health(self) -> HealthState:
+    def writable_health(self) -> HealthState:
         """Return the health state of this row alone, to be changed."""
-        if self.health is SOUND:
+        if self.health is UNKNOWN_HEALTH:
             self.health = HealthState()
         return self.health
 
@@ -129,7 +135,7 @@
     #: From this time the next datagram goes by the second host.
     refresh_at: float
     #: Bits: 1 caller sent FIN, 2 target sent FIN.
-    fins: int = 0
+    fin_flags: int = 0
     #: Packets of the flow that other hosts relayed here, for hints.
     relays: int = 0
     #: The wheel bucket that will look at the flow; entries elsewhere are stale.
@@ -165,7 +171,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class WalkRow:
+class SearchRow:
     """A search for the target that holds a flow this host does not know."""
 
     account: AccountRow
@@ -189,7 +195,7 @@
     target: TargetRow
     deadline: float
     #: Version of the ring the hint was made under.
-    ring_version: int
+    owners_version: int
 
 
 @dataclass(slots=True, eq=False)
@@ -211,7 +217,7 @@
 class FlowTable:
     """Flows by key, with a wheel of keys by the time they may expire."""
 
-    rows: AccountedRows[FlowRow] = field(default_factory=AccountedRows)
+    rows: AccountRows[FlowRow] = field(default_factory=AccountRows)
     wheel: dict[int, list[FlowKey]] = field(default_factory=dict)
 
     def add(self, flow: FlowKey, row: FlowRow, now: float) -> None:
@@ -229,8 +235,8 @@
         when the idle time of an hour has passed, the keys of an hour of short
         flows would pile up.
         """
-        look_at = min(row.deadline, now + LOOK_INTERVAL)
-        position = int(look_at // WHEEL_GRAIN) + 1
+        look_at = min(row.deadline, now + RECHECK_INTERVAL)
+        position = int(look_at // WHEEL_BUCKET_WIDTH) + 1
         bucket = self.wheel.setdefault(position, [])
         if row.bucket is not bucket:
             row.bucket = bucket
@@ -252,7 +258,7 @@
     #: Highest configuration revision applied.
     revision: int = 0
     hosts: dict[str, HostRow] = field(default_factory=dict)
-    ring: OwnerRing = field(default_factory=OwnerRing)
+    owners: OwnerTable = field(default_factory=OwnerTable)
     accounts: dict[str, AccountRow] = field(default_factory=dict)
     #: The client accounts with something to do; the others cost no time.
     active_accounts: dict[str, AccountRow] = field(default_factory=dict)
@@ -263,8 +269,8 @@
     #: Target ids by the address their tunnel packets come from.
     targets_by_ip: dict[str, str] = field(default_factory=dict)
     flows: FlowTable = field(default_factory=FlowTable)
-    openings: AccountedRows[OpeningRow] = field(default_factory=AccountedRows)
-    walks: AccountedRows[WalkRow] = field(default_factory=AccountedRows)
+    openings: AccountRows[OpeningRow] = field(default_factory=AccountRows)
+    searches: AccountRows[SearchRow] = field(default_factory=AccountRows)
     hints: dict[FlowKey, HintRow] = field(default_factory=dict)
     loads: LoadTable = field(default_factory=LoadTable)
     #: Members of the ring of whose flows nothing fresh is known.
@@ -280,7 +286,7 @@
     membership: MembershipTable = field(
         default_factory=lambda: MembershipTable(HashedRandomSource(0))
     )
-    spread: SpreadTable = field(default_factory=SpreadTable)
+    replication: SpreadTable = field(default_factory=SpreadTable)
     fence: FenceRow = field(default_factory=FenceRow)
 
     @property
--- a/tests/test_admin/test_server.py
+++ b/tests/test_admin/test_server.py
@@ -165,7 +165,7 @@
         await put_examples(client)
         snapshot = await bench.store.read_snapshot()
         bench.host.core.receive(SnapshotRead(snapshot), bench.host.now)
-        health = tables.targets["bundelpers-1"].own_health()
+        health = tables.targets["bundelpers-1"].writable_health()
         health.ejected_until = bench.host.now + 4.5
         status = (await client.get("/v1/status")).json()
         dump = (await client.get("/v1/dump")).json()
--- a/tests/test_daemons/test_prober.py
+++ b/tests/test_daemons/test_prober.py
@@ -131,8 +131,8 @@
         row = daemon.core.tables.targets[first.target_id]
         daemon.application.emit("action", ProbeTarget(first.target_id))
         with anyio.fail_after(30):
-            while row.health.notes is None:
+            while row.health.prober_reports is None:
                 await anyio.sleep(0.005)
-        [note] = row.health.notes.values()
+        [note] = row.health.prober_reports.values()
         assert not note.healthy
         group.cancel_scope.cancel()
--- a/tests/test_experiments/mutants.py
+++ b/tests/test_experiments/mutants.py
@@ -11,12 +11,12 @@
 from citronspring.systems import (
     answers,
     fence,
+    flow_search,
     openings,
     placement,
+    replication,
     revisions,
     routing,
-    second_chance,
-    spread,
 )
 
 MUTANTS = {}
@@ -56,18 +56,18 @@
         flags = (packet.flow, False, RST, packet.ack, 0, 0, b"")
         actions.append(SendToCaller(Packet(*flags)))
 
-    patch(routing, "begin_walk", reset)
+    patch(routing, "begin_search", reset)
 
 
 @mutant("unbroken flows")
 def reset_without_certainty(patch):
     """The first candidate's reset is passed on."""
 
-    def pass_on(tables, walk, target, packet, now, actions):
-        del tables.walks[packet.flow]
+    def pass_on(tables, search_row, target, packet, now, actions):
+        del tables.searches[packet.flow]
         actions.append(SendToCaller(packet))
 
-    patch(second_chance, "reset_during_walk", pass_on)
+    patch(flow_search, "reset_during_search", pass_on)
 
 
 @mutant("unbroken flows", storm)
@@ -79,7 +79,7 @@
         found = search(flow, account)
         return [row for row in found if row.target.leaving_revision is None]
 
-    patch(second_chance, "possible_targets", only_active)
+    patch(flow_search, "possible_targets", only_active)
 
 
 @mutant("unbroken flows", split)
@@ -89,7 +89,7 @@
     def believe(tables, row, packet, now, actions):
         answers.answer_established(tables, row, packet, now, actions)
 
-    patch(answers, "answer_by_hearsay", believe)
+    patch(answers, "answer_unverified", believe)
 
 
 @mutant("leaving targets")
@@ -97,7 +97,9 @@
     """A drained target stays in the window for new flows."""
 
     def window(flow, account, now):
-        return placement.rank_targets(flow, account.targets)[: placement.WINDOW]
+        return placement.rank_targets(flow, account.targets)[
+            : placement.PLACEMENT_WINDOW
+        ]
 
     patch(placement, "placement_window", window)
 
@@ -108,7 +110,7 @@
 
     def window(flow, account, now):
         everything = [row for other in accounts_seen for row in other.targets]
-        return placement.rank_targets(flow, everything)[: placement.WINDOW]
+        return placement.rank_targets(flow, everything)[: placement.PLACEMENT_WINDOW]
 
     accounts_seen = []
     put = revisions.put_account
@@ -140,16 +142,16 @@
         for record in records:
             if record.account is not None:
                 revisions.put_account(tables, record.account, now)
-            revisions.note_revision(tables, record.revision)
+            revisions.set_revision(tables, record.revision)
 
-    patch(spread, "accept_records", take)
+    patch(replication, "accept_records", take)
 
 
 @mutant("changes in force")
 def nothing_spreads(patch):
     """Only the readers hear of changes."""
-    patch(spread, "push", lambda tables, actions: None)
-    patch(spread, "ask_for_records", lambda *arguments: None)
+    patch(replication, "push", lambda tables, actions: None)
+    patch(replication, "ask_for_records", lambda *arguments: None)
 
 
 @mutant("whole own answers")
@@ -193,7 +195,7 @@
 @mutant("not run means not run")
 def slow_datagrams_are_refused(patch):
     """A datagram that is not answered soon is refused, though it may have run."""
-    settle_by(patch, openings.give_up)
+    settle_by(patch, openings.refuse_opening)
 
 
 @mutant("refused at once")
--- a/tests/test_systems/cluster.py
+++ b/tests/test_systems/cluster.py
@@ -114,7 +114,7 @@
         return all(
             sum(row.state is HostState.ALIVE for row in core.tables.hosts.values())
             == count
-            and len(core.tables.ring.members) == count
+            and len(core.tables.owners.members) == count
             for core in self.network.hosts.values()
         )
 
--- a/tests/test_systems/driver.py
+++ b/tests/test_systems/driver.py
@@ -17,10 +17,10 @@
 )
 from citronspring.rendezvous import flow_key
 from citronspring.systems.expiry import expire_flows, expire_hints
+from citronspring.systems.flow_search import expire_searches
 from citronspring.systems.openings import expire_openings
-from citronspring.systems.ownership import renew_ring
+from citronspring.systems.ownership import update_owners
 from citronspring.systems.placement import rank_targets
-from citronspring.systems.second_chance import expire_walks
 from tests.conftest import make_host
 
 CALLER_SEQ = 1000
@@ -43,7 +43,7 @@
     """Return a flow that the core owns, or that a named host ranks second for."""
     for port in range(start, 60_000):
         flow = flow_to(port=port)
-        first, runner_up = core.tables.ring.pair(flow)
+        first, runner_up = core.tables.owners.owner_and_backup(flow)
         mine = (first == core.tables.host_id) == owner
         if mine and second in (None, runner_up):
             return flow
@@ -100,9 +100,9 @@
     """Run the timed systems of flows, and none that needs other hosts."""
     tables = core.tables
     actions = []
-    renew_ring(tables, now)
+    update_owners(tables, now)
     expire_openings(tables, now, actions)
-    expire_walks(tables, now, actions)
+    expire_searches(tables, now, actions)
     expire_flows(tables, now)
     expire_hints(tables, now)
     return actions
--- a/tests/test_systems/test_binding.py
+++ b/tests/test_systems/test_binding.py
@@ -10,8 +10,8 @@
 from citronspring.flags import FIN, RST
 from citronspring.messages import DropReason, RelayKind, RelayReceived, SnapshotRead
 from citronspring.systems.binding import BACKUP_LIFETIME, bind
-from citronspring.systems.ownership import renew_ring
-from citronspring.systems.second_chance import ASK_TIMEOUT, expire_walks
+from citronspring.systems.flow_search import QUERY_TIMEOUT, expire_searches
+from citronspring.systems.ownership import update_owners
 from citronspring.tables import FlowState
 from tests.test_systems import driver
 
@@ -20,14 +20,14 @@
     return RelayReceived(RelayKind.BIND, sender, flow, target_id=target_id)
 
 
-def believe(core, flow, target_id, now=1.0):
+def adopt_binding(core, flow, target_id, now=1.0):
     """Have a core take over a binding from the second-ranked host."""
     core.receive(driver.from_caller(flow), now)
     core.receive(binding(flow, target_id), now)
     return core.tables.flows.rows[flow]
 
 
-def leave(snapshot, target_id, revision=2):
+def with_leaving_target(snapshot, target_id, revision=2):
     """Return the configuration in which a target leaves."""
     account = snapshot.accounts[0]
     targets = [
@@ -49,20 +49,20 @@
     """
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core)
-    row = believe(core, flow, "bundelpers-1")
-    assert row.state == FlowState.UNPROVEN
+    row = adopt_binding(core, flow, "bundelpers-1")
+    assert row.state == FlowState.UNVERIFIED
     [drop] = core.receive(driver.reset(flow, "bundelpers-1"), 1.1)
     assert drop.reason is DropReason.SWALLOWED_RESET
     assert core.tables.accounts["bundelpers"].open_flows == 0
     actions = core.receive(driver.from_caller(flow, data=b"poem"), 1.2)
     assert driver.kinds(actions) == ["SendToTarget"]
-    assert flow in core.tables.walks
+    assert flow in core.tables.searches
 
 
 def test_reset_of_a_proven_target_passes_at_once(snapshot):
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core)
-    believe(core, flow, "bundelpers-1")
+    adopt_binding(core, flow, "bundelpers-1")
     core.receive(driver.from_target(flow, "bundelpers-1", data=b"page"), 1.1)
     actions = core.receive(driver.reset(flow, "bundelpers-1"), 1.2)
     assert driver.kinds(actions) == ["SendToCaller"]
@@ -78,7 +78,7 @@
     flow = driver.owned_flow(core)
     core.receive(driver.from_caller(flow, data=b"x"), 1.0)
     actions = []
-    expire_walks(core.tables, 1.0 + ASK_TIMEOUT, actions)
+    expire_searches(core.tables, 1.0 + QUERY_TIMEOUT, actions)
     [holder] = driver.sent_to(actions)
     core.receive(driver.from_target(flow, holder), 1.2)
     other = next(name for name in core.tables.targets if name != holder)
@@ -95,7 +95,7 @@
     """
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core)
-    believe(core, flow, "bundelpers-1")
+    adopt_binding(core, flow, "bundelpers-1")
     answer = driver.from_target(flow, "bundelpers-2", 16 | flags, data=b"page")
     assert driver.kinds(core.receive(answer, 1.1)) == ["SendToCaller"]
     sent = driver.sent_to(core.receive(driver.from_caller(flow), 1.2))
@@ -121,8 +121,8 @@
         actions = second.receive(event, 0.0)
         assert driver.sent_to(actions) == [target_id]
         assert len(actions) == 1
-    second.receive(SnapshotRead(leave(snapshot, "bundelpers-2")), 0.5)
-    second.tables.ring.update(["host-0"])
+    second.receive(SnapshotRead(with_leaving_target(snapshot, "bundelpers-2")), 0.5)
+    second.tables.owners.update(["host-0"])
     [placed] = driver.sent_to(second.receive(driver.syn(flow), 1.0))
     assert placed != "bundelpers-2"
 
@@ -131,7 +131,7 @@
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
     leaving = driver.open_flow(core, flow)
-    core.receive(SnapshotRead(leave(snapshot, leaving)), 1.0)
+    core.receive(SnapshotRead(with_leaving_target(snapshot, leaving)), 1.0)
     data = driver.from_caller(flow, data=b"x")
     assert driver.sent_to(core.receive(data, 2.0)) == [leaving]
     [placed] = driver.sent_to(core.receive(driver.syn(flow), 3.0))
@@ -152,7 +152,7 @@
     )
     core.receive(event, 0.0)
     del core.tables.hosts["host-1"]
-    renew_ring(core.tables, 0.1)
+    update_owners(core.tables, 0.1)
     assert account.open_flows == 0
     core.receive(driver.from_caller(flow), 0.2)
     assert account.open_flows == core.tables.targets["bundelpers-1"].flows == 1
@@ -173,7 +173,7 @@
     )
     assert first != "bundelpers-6"
     assert driver.sent_to(core.receive(event, 0.5)) == [first]
-    core.receive(SnapshotRead(leave(snapshot, first)), 1.0)
+    core.receive(SnapshotRead(with_leaving_target(snapshot, first)), 1.0)
     assert driver.sent_to(core.receive(event, 1.5)) == ["bundelpers-6"]
 
 
--- a/tests/test_systems/test_expiry.py
+++ b/tests/test_systems/test_expiry.py
@@ -20,12 +20,12 @@
 )
 from citronspring.systems.binding import COUNTED_STATES
 from citronspring.systems.expiry import expire_flows
-from citronspring.tables import LOOK_INTERVAL, WHEEL_GRAIN, FlowState
+from citronspring.tables import RECHECK_INTERVAL, WHEEL_BUCKET_WIDTH, FlowState
 from tests.conftest import make_account
 from tests.test_systems import driver
 
 #: A bound after which nothing of any flow may be left: the longest idle time.
-FOREVER = 3600.0 + 2 * LOOK_INTERVAL
+FOREVER = 3600.0 + 2 * RECHECK_INTERVAL
 
 PORTS = (40_000, 40_001, 40_002, 40_003)
 TARGETS = ("bundelpers-0", "bundelpers-1", "bundelpers-2")
@@ -50,7 +50,7 @@
         places = [due for due, bucket in flows.wheel.items() if bucket is row.bucket]
         assert len(places) == 1
         assert key in row.bucket
-        assert places[0] <= (now + LOOK_INTERVAL) // WHEEL_GRAIN + 1
+        assert places[0] <= (now + RECHECK_INTERVAL) // WHEEL_BUCKET_WIDTH + 1
 
 
 class FlowHistories(RuleBasedStateMachine):
@@ -95,7 +95,7 @@
 
     @rule(
         kind=st.sampled_from(
-            [RelayKind.PROPOSE, RelayKind.ASK, RelayKind.UNKNOWN, RelayKind.BIND]
+            [RelayKind.PROPOSE, RelayKind.QUERY, RelayKind.UNKNOWN, RelayKind.BIND]
         ),
         port=st.sampled_from(PORTS),
         protocol=st.sampled_from([6, 17]),
@@ -106,7 +106,7 @@
         flow = driver.flow_to(port=port, protocol=protocol)
         flags = flags if protocol == 6 else 0
         packet = None
-        if kind in (RelayKind.PROPOSE, RelayKind.ASK):
+        if kind in (RelayKind.PROPOSE, RelayKind.QUERY):
             packet = Packet(flow, True, flags, 1000, 5001, 0, b"")
         event = RelayReceived(kind, "host-1", flow, packet, None, target_id)
         self.core.receive(event, self.now)
@@ -153,11 +153,11 @@
         self.now += FOREVER
         for _ in range(3):
             driver.expire(self.core, self.now)
-            self.now += LOOK_INTERVAL
+            self.now += RECHECK_INTERVAL
         tables = self.core.tables
         assert tables.flows.rows == {}
         assert tables.flows.wheel == {}
-        assert (tables.openings, tables.walks, tables.hints) == ({}, {}, {})
+        assert (tables.openings, tables.searches, tables.hints) == ({}, {}, {})
         check_counts(self.core)
 
 
@@ -202,4 +202,4 @@
         core.receive(driver.fin(flow, target_id), now)
         expire_flows(core.tables, now)
     keys = sum(map(len, core.tables.flows.wheel.values()))
-    assert keys <= 2 * 10 * (LOOK_INTERVAL + 2 * WHEEL_GRAIN)
+    assert keys <= 2 * 10 * (RECHECK_INTERVAL + 2 * WHEEL_BUCKET_WIDTH)
--- a/tests/test_systems/test_second_chance.py
+++ b/tests/test_systems/test_flow_search.py
@@ -5,14 +5,14 @@
 from citronspring.entities import Snapshot
 from citronspring.flags import ACK, RST, SYN
 from citronspring.messages import RelayKind, SnapshotRead
-from citronspring.systems.placement import WINDOW, possible_targets
-from citronspring.systems.second_chance import ASK_TIMEOUT, PROBE_TIMEOUT
+from citronspring.systems.flow_search import PROBE_TIMEOUT, QUERY_TIMEOUT
+from citronspring.systems.placement import PLACEMENT_WINDOW, possible_targets
 from citronspring.tables import FlowState
 from tests.conftest import make_account
 from tests.test_systems import driver
 
 
-def walk_to_end(core, flow, answer_at=None, now=1.0):
+def search_to_end(core, flow, answer_at=None, now=1.0):
     """Offer a data packet of an unknown flow; targets reset until one answers.
 
     Returns the ids offered and the actions that ended the walk.
@@ -38,7 +38,7 @@
     for holder in range(7):
         core = driver.make_core(snapshot)
         flow = driver.flow_to()
-        offered, actions = walk_to_end(core, flow, answer_at=holder)
+        offered, actions = search_to_end(core, flow, answer_at=holder)
         assert len(set(offered)) == holder + 1
         assert driver.kinds(actions) == ["SendToCaller"]
         assert not actions[0].packet.flags & RST
@@ -53,7 +53,7 @@
     proves that none does and is passed on, so that the caller does not hang.
     """
     core = driver.make_core(snapshot)
-    offered, actions = walk_to_end(core, driver.flow_to())
+    offered, actions = search_to_end(core, driver.flow_to())
     assert len(offered) == 7
     assert driver.kinds(actions) == ["SendToCaller"]
     assert actions[0].packet.flags & RST
@@ -70,11 +70,11 @@
     core.tables.hosts["host-1"].revision = 2
     flow = driver.owned_flow(core)
     core.receive(driver.from_caller(flow, data=b"data"), 1.0)
-    actions = core.tick(1.0 + ASK_TIMEOUT)
+    actions = core.tick(1.0 + QUERY_TIMEOUT)
     while sent := driver.sent_to(actions):
         actions = core.receive(driver.reset(flow, sent[0]), 1.2)
     assert "SendToCaller" not in driver.kinds(actions)
-    assert flow not in core.tables.walks
+    assert flow not in core.tables.searches
 
 
 def test_no_reset_while_a_target_is_silent(snapshot):
@@ -160,15 +160,15 @@
     driver.open_flow(driver.make_core(snapshot), flow)
     former.receive(driver.relayed(driver.from_target(flow, "bundelpers-5")), 0.0)
     [ask] = joined.receive(driver.from_caller(flow), 1.0)
-    assert ask.kind is RelayKind.ASK
-    event = driver.relayed(driver.from_caller(flow), "host-0", RelayKind.ASK)
+    assert ask.kind is RelayKind.QUERY
+    event = driver.relayed(driver.from_caller(flow), "host-0", RelayKind.QUERY)
     send, bind = former.receive(event, 1.0)
     assert send.target_id == holder.target.target_id
     event = driver.RelayReceived(bind.kind, "host-1", flow, None, None, bind.target_id)
     joined.receive(event, 1.0)
     row = joined.tables.flows.rows[flow]
     assert row.target.target.target_id == "bundelpers-5"
-    assert row.state == FlowState.UNPROVEN
+    assert row.state == FlowState.UNVERIFIED
     joined.receive(driver.from_target(flow, "bundelpers-5", data=b"page"), 1.0)
     assert row.state == FlowState.ESTABLISHED
 
@@ -196,7 +196,7 @@
             placeable = [
                 item for item in row.targets if item.target.added_revision <= revision
             ]
-            window = driver.rank_targets(flow, placeable)[:WINDOW]
+            window = driver.rank_targets(flow, placeable)[:PLACEMENT_WINDOW]
             assert set(map(id, window)) <= set(map(id, possible))
     assert sum(lengths) / len(lengths) < 37
 
@@ -229,7 +229,7 @@
     core.tables.hosts["host-1"].revision = 2
     flow = driver.owned_flow(core)
     core.receive(driver.from_caller(flow), 1.0)
-    now = 1.0 + ASK_TIMEOUT
+    now = 1.0 + QUERY_TIMEOUT
     actions = driver.expire(core, now)
     for position in range(7):
         [target_id] = driver.sent_to(actions)
@@ -270,7 +270,7 @@
         flow, "bundelpers-1", SYN | ACK, seq=driver.TARGET_SEQ + 1000
     )
     assert driver.kinds(core.receive(near_miss, 1.0)) == ["Drop"]
-    assert flow in core.tables.walks
+    assert flow in core.tables.searches
     taken = driver.syn_ack(flow, "bundelpers-2")
     assert driver.kinds(core.receive(taken, 1.0))[0] == "SendToCaller"
     row = core.tables.flows.rows[flow]
--- a/tests/test_systems/test_health.py
+++ b/tests/test_systems/test_health.py
@@ -22,7 +22,7 @@
 
 #: Late enough for every target of a new core to be warm.
 WARM = 100.0
-SICK = "bundelpers-0"
+FAILING = "bundelpers-0"
 
 
 class Callers:
@@ -68,17 +68,17 @@
         self.answer(self.core.tick(now), now)
 
 
-def sick_row(core):
-    return core.tables.targets[SICK]
+def failing_row(core):
+    return core.tables.targets[FAILING]
 
 
-def probe(core, healthy, now, target_id=SICK, load=None):
+def probe(core, healthy, now, target_id=FAILING, load=None):
     core.receive(ProbeResult(target_id, healthy, load), now)
 
 
-def note_of_peer(core, healthy, now, load=None):
-    deadline = now + health.NOTE_LIFETIME
-    health.take_note(sick_row(core), "host-1", healthy, load, now, deadline)
+def peer_report(core, healthy, now, load=None):
+    deadline = now + health.REPORT_LIFETIME
+    health.record_report(failing_row(core), "host-1", healthy, load, now, deadline)
 
 
 def test_shedding_target_is_left_alone_though_its_endpoint_says_healthy(snapshot):
@@ -89,11 +89,11 @@
     is refused, since each refused opening is retried elsewhere.
     """
     core = driver.make_core(snapshot)
-    callers = Callers(core, shedding=[SICK])
+    callers = Callers(core, shedding=[FAILING])
     for step in range(100):
         probe(core, True, WARM + step / 100)
         callers.open(1, WARM + step / 100)
-    assert callers.offered[SICK] == health.FAILURES_TO_EJECT
+    assert callers.offered[FAILING] == health.FAILURES_TO_EJECT
     assert callers.refused == 0
     assert sum(callers.placed.values()) == 100
 
@@ -106,23 +106,23 @@
     The answer lets it ramp up.
     """
     core = driver.make_core(snapshot)
-    callers = Callers(core, shedding=[SICK])
+    callers = Callers(core, shedding=[FAILING])
     callers.open(60, WARM)
     again = WARM + health.EJECTION_TIME
     callers.open(60, again)
-    assert callers.offered[SICK] == health.FAILURES_TO_EJECT + 1
-    assert sick_row(core).health.ejected_until == again + 2 * health.EJECTION_TIME
-    callers.shedding, callers.frozen = set(), {SICK}
-    later = sick_row(core).health.ejected_until
+    assert callers.offered[FAILING] == health.FAILURES_TO_EJECT + 1
+    assert failing_row(core).health.ejected_until == again + 2 * health.EJECTION_TIME
+    callers.shedding, callers.frozen = set(), {FAILING}
+    later = failing_row(core).health.ejected_until
     callers.open(60, later)
-    assert callers.offered[SICK] == health.FAILURES_TO_EJECT + 2
+    assert callers.offered[FAILING] == health.FAILURES_TO_EJECT + 2
     trial = next(flow for flow, row in core.tables.openings.items())
-    core.receive(driver.syn_ack(trial, SICK), later)
-    assert not sick_row(core).health.on_probation
+    core.receive(driver.syn_ack(trial, FAILING), later)
+    assert not failing_row(core).health.on_probation
     callers.frozen = set()
     callers.open(7, later)
-    assert callers.placed[SICK] < 7
-    assert sick_row(core).warm_at == later + health.RAMP_TIME
+    assert callers.placed[FAILING] < 7
+    assert failing_row(core).warm_at == later + health.SLOW_START_TIME
 
 
 def test_frozen_target_loses_new_flows_and_keeps_its_streams(snapshot):
@@ -138,23 +138,23 @@
     stream = next(
         flow
         for flow, row in core.tables.flows.rows.items()
-        if row.target is sick_row(core)
+        if row.target is failing_row(core)
     )
-    callers.frozen = {SICK}
+    callers.frozen = {FAILING}
     callers.open(28, WARM + 1.0)
     callers.tick(WARM + 1.0 + ATTEMPT_TIMEOUT)
-    assert sick_row(core).health.ejected_until > WARM + 2.0
-    offered = callers.offered[SICK]
+    assert failing_row(core).health.ejected_until > WARM + 2.0
+    offered = callers.offered[FAILING]
     callers.open(50, WARM + 2.0)
-    assert callers.offered[SICK] == offered
+    assert callers.offered[FAILING] == offered
     assert callers.refused == 0
     [action] = core.receive(driver.from_caller(stream, data=b"more"), WARM + 2.0)
-    assert action.target_id == SICK
+    assert action.target_id == FAILING
 
 
 def test_flapping_target_is_ejected_for_longer_and_longer(snapshot):
     core = driver.make_core(snapshot)
-    row, now, lengths = sick_row(core), WARM, []
+    row, now, lengths = failing_row(core), WARM, []
     for _ in range(8):
         for _ in range(health.FAILURES_TO_EJECT):
             health.note_failure(core.tables, row, now)
@@ -162,7 +162,7 @@
         now = row.health.ejected_until
         health.note_answer(row, now)
     assert lengths == [2, 4, 8, 16, 32, 60, 60, 60]
-    now += health.FORGIVENESS_TIME
+    now += health.EJECTION_RESET_TIME
     for _ in range(health.FAILURES_TO_EJECT):
         health.note_failure(core.tables, row, now)
     assert row.health.ejected_until - now == health.EJECTION_TIME
@@ -203,19 +203,19 @@
 
 def test_no_trial_while_the_retry_budget_is_spent(snapshot):
     core = driver.make_core(snapshot)
-    row = sick_row(core)
+    row = failing_row(core)
     health.eject(core.tables, row, WARM)
     row.account.retry_balance = 0.0
-    assert health.is_out(core.tables, row, row.health.ejected_until)
+    assert health.is_excluded(core.tables, row, row.health.ejected_until)
     row.account.retry_balance = 1.0
-    assert not health.is_out(core.tables, row, row.health.ejected_until)
+    assert not health.is_excluded(core.tables, row, row.health.ejected_until)
 
 
 def test_unreachable_target_is_ejected(snapshot):
     core = driver.make_core(snapshot)
     for _ in range(health.FAILURES_TO_EJECT):
-        core.receive(TargetUnreachable(SICK), WARM)
-    assert sick_row(core).health.ejected_until > WARM
+        core.receive(TargetUnreachable(FAILING), WARM)
+    assert failing_row(core).health.ejected_until > WARM
     core.receive(TargetUnreachable("nobody"), WARM)
 
 
@@ -227,37 +227,37 @@
     opening that succeeds outweighs both of them.
     """
     core = driver.make_core(snapshot, hosts=2)
-    row = sick_row(core)
+    row = failing_row(core)
     probe(core, False, WARM)
-    assert not health.is_out(core.tables, row, WARM)
-    assert health.weight_of(row, WARM) == health.UNHEALTHY_WEIGHT
-    note_of_peer(core, False, WARM)
-    assert not health.is_out(core.tables, row, WARM)
+    assert not health.is_excluded(core.tables, row, WARM)
+    assert health.load_factor(row, WARM) == health.UNHEALTHY_WEIGHT
+    peer_report(core, False, WARM)
+    assert not health.is_excluded(core.tables, row, WARM)
     health.note_placed(row, WARM)
-    assert health.is_out(core.tables, row, WARM + 1.0)
+    assert health.is_excluded(core.tables, row, WARM + 1.0)
     health.note_answer(row, WARM + 1.0)
     probe(core, False, WARM + 2.0)
-    note_of_peer(core, False, WARM + 2.0)
-    assert not health.is_out(core.tables, row, WARM + 2.0)
+    peer_report(core, False, WARM + 2.0)
+    assert not health.is_excluded(core.tables, row, WARM + 2.0)
 
 
 def test_notes_of_silent_probers_run_out(snapshot):
     core = driver.make_core(snapshot, hosts=2)
-    row = sick_row(core)
+    row = failing_row(core)
     probe(core, False, WARM)
-    note_of_peer(core, False, WARM)
-    assert not health.is_out(core.tables, row, WARM + health.NOTE_LIFETIME)
-    assert health.weight_of(row, WARM + health.NOTE_LIFETIME) == 1.0
+    peer_report(core, False, WARM)
+    assert not health.is_excluded(core.tables, row, WARM + health.REPORT_LIFETIME)
+    assert health.load_factor(row, WARM + health.REPORT_LIFETIME) == 1.0
 
 
 def test_prober_needs_two_results_to_change_its_mind(snapshot):
     """A flapping endpoint does not swing readers to and fro between servers."""
     core = driver.make_core(snapshot, hosts=2)
-    row = sick_row(core)
+    row = failing_row(core)
     said = []
     for step, healthy in enumerate([True, False, True, False, False, True, True]):
         probe(core, healthy, WARM + 2 * step)
-        said.append(row.health.notes["host-0"].healthy)
+        said.append(row.health.prober_reports["host-0"].healthy)
     assert said == [True, True, True, True, False, False, True]
 
 
@@ -266,7 +266,7 @@
     probe(core, True, WARM, load=2.0)
     callers = Callers(core)
     callers.open(700, WARM)
-    assert 75 <= callers.placed[SICK] < 100
+    assert 75 <= callers.placed[FAILING] < 100
 
 
 def test_new_target_takes_a_growing_share(snapshot):
@@ -283,7 +283,7 @@
     shares = []
     start = WARM + PLACEMENT_DELAY
     for part in (0.0, 0.5, 1.0):
-        callers.open(70, start + part * health.RAMP_TIME)
+        callers.open(70, start + part * health.SLOW_START_TIME)
         shares.append(callers.placed["bundelpers-7"])
     assert 5 <= shares[0] <= 15
     assert 40 <= shares[1] <= 70
@@ -314,10 +314,10 @@
 
 def test_no_endpoint_no_probe_and_refusal_names_the_return(snapshot):
     core = driver.make_core(Snapshot(1, (make_account(targets=1),)))
-    callers = Callers(core, shedding=[SICK])
+    callers = Callers(core, shedding=[FAILING])
     callers.open(3, WARM)
     assert not [item for item in core.tick(WARM) if isinstance(item, ProbeTarget)]
     actions = core.receive(driver.syn(driver.flow_to()), WARM + 0.25)
-    actions = core.receive(driver.reset(driver.flow_to(), SICK), WARM + 0.25)
+    actions = core.receive(driver.reset(driver.flow_to(), FAILING), WARM + 0.25)
     assert actions[0].reason is RefusalReason.NO_HEALTHY_TARGET
-    assert actions[0].retry_at == sick_row(core).health.ejected_until
+    assert actions[0].retry_at == failing_row(core).health.ejected_until
--- a/tests/test_systems/test_idle.py
+++ b/tests/test_systems/test_idle.py
@@ -10,8 +10,8 @@
 from citronspring.systems import health, loads
 from citronspring.systems.binding import TIME_WAIT
 from citronspring.systems.expiry import expire_flows
-from citronspring.systems.idle import IDLE_AFTER, put_idle_to_sleep
-from citronspring.tables import WHEEL_GRAIN
+from citronspring.systems.idle import IDLE_AFTER, deactivate_idle_accounts
+from citronspring.tables import WHEEL_BUCKET_WIDTH
 from tests.conftest import make_account
 from tests.test_systems import driver
 
@@ -26,9 +26,9 @@
 
 def run_timed_systems(core, now):
     actions = []
-    put_idle_to_sleep(core.tables, now)
+    deactivate_idle_accounts(core.tables, now)
     health.request_probes(core.tables, now, actions)
-    loads.tell_loads(core.tables, now, actions)
+    loads.send_loads(core.tables, now, actions)
     return actions
 
 
@@ -53,7 +53,7 @@
     assert any(isinstance(item, SendControl) for items in seen for item in items)
     finish(core, flow, target_id, 10.0)
     now = 10.0
-    while now < 10.0 + TIME_WAIT + WHEEL_GRAIN + 2 * IDLE_AFTER:
+    while now < 10.0 + TIME_WAIT + WHEEL_BUCKET_WIDTH + 2 * IDLE_AFTER:
         now += 4.0
         expire_flows(core.tables, now)
         run_timed_systems(core, now)
@@ -99,7 +99,7 @@
     core = driver.make_core(snapshot)
     driver.open_flow(core, driver.flow_to())
     for step in range(100):
-        put_idle_to_sleep(core.tables, step * IDLE_AFTER)
+        deactivate_idle_accounts(core.tables, step * IDLE_AFTER)
     assert "bundelpers" in core.tables.active_accounts
 
 
@@ -108,8 +108,8 @@
     core = driver.make_core(snapshot, hosts=2)
     entry = Loads((loads.TargetLoad("bundelpers-0", 3),))
     for step in range(10):
-        loads.take_loads(core.tables, "host-1", entry, step * IDLE_AFTER / 2)
-        put_idle_to_sleep(core.tables, step * IDLE_AFTER / 2 + 1)
+        loads.receive_loads(core.tables, "host-1", entry, step * IDLE_AFTER / 2)
+        deactivate_idle_accounts(core.tables, step * IDLE_AFTER / 2 + 1)
         assert "bundelpers" in core.tables.active_accounts
-    put_idle_to_sleep(core.tables, 6 * IDLE_AFTER)
+    deactivate_idle_accounts(core.tables, 6 * IDLE_AFTER)
     assert not core.tables.active_accounts
--- a/tests/test_systems/test_limits.py
+++ b/tests/test_systems/test_limits.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from citronspring.entities import AccountLimits, Snapshot
-from citronspring.load_rows import PacedLimit
+from citronspring.load_rows import GcraLimiter
 from citronspring.messages import RefusalReason, Refuse, SendToTarget
 from citronspring.systems import limits
-from citronspring.systems.second_chance import MAX_WALKS
+from citronspring.systems.flow_search import MAX_SEARCHES
 from tests.conftest import make_account
 from tests.test_systems import driver
 
@@ -40,7 +40,7 @@
     while opened < count:
         flow = driver.flow_to(address, port)
         port += 1
-        if core.tables.ring.pair(flow)[0] != core.tables.host_id:
+        if core.tables.owners.owner_and_backup(flow)[0] != core.tables.host_id:
             continue
         [action] = core.receive(driver.syn(flow), now)
         if isinstance(action, Refuse):
@@ -51,7 +51,9 @@
 
 @given(st.integers(0, 10**6), st.integers(1, 64), st.integers(0, 2**64))
 def test_parts_add_up_to_the_whole(whole, members, seed):
-    parts = [limits.part_of(whole, members, seed + index) for index in range(members)]
+    parts = [
+        limits.integer_share(whole, members, seed + index) for index in range(members)
+    ]
     assert sum(parts) == whole
     assert max(parts) - min(parts) <= 1
 
@@ -68,7 +70,7 @@
     Openings come at any pace. Whenever one is refused, ``retry_at`` lies ahead, and
     an opening at just that time is admitted: rounding must not refuse it again.
     """
-    limit = PacedLimit()
+    limit = GcraLimiter()
     for gap in gaps:
         now += gap / rate
         if not limit.admit(now, rate, burst):
@@ -127,8 +129,10 @@
     cores = make_cores(snapshot_with(max_connections=80))
     rows = [core.tables.accounts["bundelpers"] for core in cores]
     for core, row in zip(cores[1:], rows[1:], strict=True):
-        told = limits.promise(core.tables, row, 0.0)
-        limits.take_promise(cores[0].tables, rows[0], core.tables.host_id, told, 0.0)
+        told = limits.next_usage_cap(core.tables, row, 0.0)
+        limits.record_peer_usage(
+            cores[0].tables, rows[0], core.tables.host_id, told, 0.0
+        )
     opened, _ = open_owned(cores[0], 100, now=1.0)
     assert opened == 20 + 3 * 10 // 3
     assert open_owned(cores[1], 100, now=1.0)[0] == 10
@@ -154,7 +158,9 @@
             underway.remove(due)
             _, teller, hearer, told = due
             name = cores[teller].tables.host_id
-            limits.take_promise(cores[hearer].tables, rows[hearer], name, told, now)
+            limits.record_peer_usage(
+                cores[hearer].tables, rows[hearer], name, told, now
+            )
         host, peer = rng.sample(range(HOSTS), 2)
         core, row = cores[host], rows[host]
         if rng.random() < 0.02:
@@ -166,8 +172,10 @@
             if limits.admit(core.tables, row, now) is not None:
                 break
             row.open_flows += 1
-        told = limits.promise(core.tables, row, now)
-        underway.append((now + rng.uniform(0.0, limits.TOLD_WITHIN), host, peer, told))
+        told = limits.next_usage_cap(core.tables, row, now)
+        underway.append(
+            (now + rng.uniform(0.0, limits.MAX_MESSAGE_AGE), host, peer, told)
+        )
         most = max(most, row.open_flows)
         assert sum(row.open_flows for row in rows) <= 40
     assert most > 10
@@ -183,7 +191,7 @@
     row = core.tables.accounts["bundelpers"]
     told = []
     for row.open_flows in (0, 3, 4):
-        told.append(limits.promise(core.tables, row, 1.0))
+        told.append(limits.next_usage_cap(core.tables, row, 1.0))
     assert told == [5, 5, 10]
     assert limits.connection_allowance(core.tables, row, 2.0) == 5
 
@@ -211,10 +219,10 @@
     The flood gets two thirds of the searches, and the upload's starts at once.
     """
     core = driver.make_core(snapshot_with())
-    for number in range(MAX_WALKS):
+    for number in range(MAX_SEARCHES):
         flow = driver.flow_to(port=number % 60_000 + 1)
         core.receive(driver.from_caller(flow, data=b"stray"), 1.0)
-    assert len(core.tables.walks) < MAX_WALKS
+    assert len(core.tables.searches) < MAX_SEARCHES
     upload = driver.from_caller(driver.flow_to("192.0.2.2"), data=b"page")
     assert driver.kinds(core.receive(upload, 1.0)) == ["SendToTarget"]
 
@@ -269,4 +277,4 @@
         rows[flow] = rows[flow]
         rows.pop(flow)
         rows.pop(flow)
-    assert rows.held.get(account, 0) == len(rows) == held
+    assert rows.row_counts.get(account, 0) == len(rows) == held
--- a/tests/test_systems/test_loads.py
+++ b/tests/test_systems/test_loads.py
@@ -7,7 +7,7 @@
 from citronspring.entities import Snapshot
 from citronspring.messages import ControlReceived
 from citronspring.systems import loads
-from citronspring.systems.idle import wake
+from citronspring.systems.idle import activate
 from citronspring.systems.limits import RETRY_AFTER, connection_allowance
 from tests.conftest import make_account
 from tests.test_systems import driver
@@ -20,16 +20,16 @@
     """Let cores tell each other their loads; return the messages sent."""
     sent = []
     by_id = {core.tables.host_id: core for core in cores}
-    for step in range(int(seconds / loads.TELL_INTERVAL)):
-        now = start + step * loads.TELL_INTERVAL
+    for step in range(int(seconds / loads.SEND_INTERVAL)):
+        now = start + step * loads.SEND_INTERVAL
         for core in cores:
             actions = []
-            loads.tell_loads(core.tables, now, actions)
+            loads.send_loads(core.tables, now, actions)
             for action in actions:
                 sent.append(action.message)
                 peer = by_id.get(action.host_id)
                 if peer is not None and not lost(core):
-                    loads.take_loads(
+                    loads.receive_loads(
                         peer.tables, core.tables.host_id, action.message, now
                     )
     return sent
@@ -62,7 +62,7 @@
     del cores[1].tables.active_accounts["bundelpers"]
     run(cores, 3.0, 3.0)
     assert remote(cores[0]) == 0
-    assert not any(cores[1].tables.loads.told.values())
+    assert not any(cores[1].tables.loads.last_sent.values())
 
 
 def test_a_dead_owners_flows_vanish_with_it(snapshot):
@@ -96,7 +96,7 @@
     core = driver.make_core(Snapshot(1, (account,)), hosts=30)
     for number, row in enumerate(core.tables.accounts["bundelpers"].targets):
         row.flows = number + 1
-    wake(core.tables, core.tables.accounts["bundelpers"], 0.0)
+    activate(core.tables, core.tables.accounts["bundelpers"], 0.0)
     sent = run([core], 0.0, 30.0)
     assert len(sent) == 60
     for message in sent:
@@ -120,9 +120,9 @@
         "bundelpers"
     ]
     row = cores[0].tables.targets[FIRST]
-    loads.take_note(row, "host-0", False, 1.5, 0.0, 10.0)
+    loads.record_report(row, "host-0", False, 1.5, 0.0, 10.0)
     run(cores, 0.0, 2.0)
-    note = cores[1].tables.targets[FIRST].health.notes["host-0"]
+    note = cores[1].tables.targets[FIRST].health.prober_reports["host-0"]
     assert not note.healthy
     assert abs(note.load - 1.5) < 0.01
 
@@ -130,7 +130,7 @@
 def test_strangers_and_unknown_targets_change_nothing(snapshot):
     core = driver.make_core(snapshot, hosts=2)
     message = Loads((TargetLoad(FIRST, 50), TargetLoad("nobody", 50)))
-    loads.take_loads(core.tables, "host-9", message, 1.0)
+    loads.receive_loads(core.tables, "host-9", message, 1.0)
     assert remote(core) == 0
     core.receive(ControlReceived("host-1", message), 1.0)
     assert remote(core) == 50
@@ -145,7 +145,7 @@
     cores = make_cores(snapshot_with(targets=2))
     for core in cores[1:]:
         core.tables.targets[FIRST].flows = 100
-        wake(core.tables, core.tables.accounts["bundelpers"], 0.0)
+        activate(core.tables, core.tables.accounts["bundelpers"], 0.0)
     run(cores, 0.0, 3.0)
     open_owned(cores[0], 100)
     assert 70 <= flows(cores[0], "bundelpers-1") <= 90
--- a/tests/test_systems/test_membership.py
+++ b/tests/test_systems/test_membership.py
@@ -15,8 +15,8 @@
     SendControl,
 )
 from citronspring.systems.dissemination import (
-    MUCH_NEWS,
-    SUSPECT_TIME,
+    SUSPICION_TIMEOUT,
+    UPDATE_BACKLOG,
     queue_update,
     set_state,
 )
@@ -42,7 +42,7 @@
         lambda: cluster.states_of("host-4") == {HostState.DEAD}, 5.0
     )
     assert took <= 4.0
-    rings = {core.tables.ring.members for core in cluster.network.hosts.values()}
+    rings = {core.tables.owners.members for core in cluster.network.hosts.values()}
     assert all("host-4" not in ring for ring in rings)
 
 
@@ -83,11 +83,11 @@
     core = driver.make_core(snapshot, hosts=2)
     row = core.tables.hosts["host-1"]
     set_state(core.tables, row, HostState.SUSPECT, 10.0)
-    assert row.suspect_until == 10.0 + SUSPECT_TIME
-    for index in range(2 * MUCH_NEWS):
+    assert row.suspect_until == 10.0 + SUSPICION_TIMEOUT
+    for index in range(2 * UPDATE_BACKLOG):
         queue_update(core.tables, HostUpdate(f"host-{index}", HostState.ALIVE, 5))
     set_state(core.tables, row, HostState.SUSPECT, 10.0)
-    assert row.suspect_until == 10.0 + 2 * SUSPECT_TIME
+    assert row.suspect_until == 10.0 + 2 * SUSPICION_TIMEOUT
 
 
 def test_third_of_the_fleet_restarts_and_all_agree_again():
@@ -129,7 +129,7 @@
     event = ControlReceived("host-1", Ping(1, 1, (rumour,)))
     cluster.network.give("host-2", event)
     assert cluster.core("host-2").tables.hosts["host-5"].state is HostState.SUSPECT
-    assert "host-5" in cluster.core("host-2").tables.ring.members
+    assert "host-5" in cluster.core("host-2").tables.owners.members
     cluster.run(1.4)
     assert cluster.states_of("host-5") == {HostState.ALIVE}
     assert cluster.core("host-5").tables.me.incarnation == 2
@@ -252,7 +252,7 @@
     cluster.read_now("host-1")
     cluster.run(50.0)
     for name, core in cluster.network.hosts.items():
-        assert set(core.tables.ring.members) == (
+        assert set(core.tables.owners.members) == (
             inside if name in inside else set(cluster.network.hosts) - inside
         )
     cluster.platform_up = False
@@ -277,7 +277,7 @@
     cluster.run(10.0)
     assert cluster.states_of("host-3") == {HostState.LEAVING}
     for other in cluster.network.hosts.values():
-        assert "host-3" not in other.tables.ring.members
+        assert "host-3" not in other.tables.owners.members
     cluster.network.kill_host("host-3")
     cluster.run_until(lambda: cluster.states_of("host-3") == {HostState.DEAD}, 6.0)
 
--- a/tests/test_systems/test_openings.py
+++ b/tests/test_systems/test_openings.py
@@ -21,7 +21,7 @@
 OTHER_SEQ = driver.TARGET_SEQ + (1 << 28)
 
 
-def shed(flow, target_id):
+def syn_refusal(flow, target_id):
     """Return a target's reset of a SYN."""
     return driver.from_target(
         flow, target_id, RST | ACK, seq=0, ack=driver.CALLER_SEQ + 1
@@ -162,10 +162,10 @@
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
     tried = [start_opening(core, flow)]
-    actions = core.receive(shed(flow, tried[-1]), 0.01)
+    actions = core.receive(syn_refusal(flow, tried[-1]), 0.01)
     while sent := driver.sent_to(actions):
         tried += sent
-        actions = core.receive(shed(flow, tried[-1]), 0.01)
+        actions = core.receive(syn_refusal(flow, tried[-1]), 0.01)
     assert sorted(tried) == sorted(row.target.target_id for row in targets_of(core))
     # No resets: a target that refused holds nothing that could be open.
     [refusal] = actions
@@ -277,10 +277,13 @@
     core = driver.make_core(snapshot, hosts=3)
     flow = driver.owned_flow(core, owner=False)
     [ask] = core.receive(driver.relayed(driver.syn(flow)), 0.0)
-    assert (ask.kind, ask.host_id) == (RelayKind.ASK, core.tables.ring.pair(flow)[0])
+    assert (ask.kind, ask.host_id) == (
+        RelayKind.QUERY,
+        core.tables.owners.owner_and_backup(flow)[0],
+    )
     assert (open_count(core), core.tables.openings) == (0, {})
     owner = driver.make_core(snapshot, hosts=3, index=int(ask.host_id[-1]))
-    event = driver.relayed(driver.syn(flow), "host-0", RelayKind.ASK)
+    event = driver.relayed(driver.syn(flow), "host-0", RelayKind.QUERY)
     [proposal] = owner.receive(event, 0.0)
     assert proposal.kind is RelayKind.PROPOSE
     assert open_count(owner) == 1
@@ -304,7 +307,7 @@
         cores = [driver.make_core(snapshot, hosts=3, index=n) for n in range(3)]
         placed = set()
         for core in cores:
-            core.tables.ring.update([core.tables.host_id])
+            core.tables.owners.update([core.tables.host_id])
             placed.add(*driver.sent_to(core.receive(datagram(flow), 0.0)))
         assert len(placed) == 1
 
@@ -324,7 +327,7 @@
     send, bind = second.receive(event, 1.0)
     assert send.target_id == bind.target_id == "bundelpers-1"
     owner = driver.make_core(snapshot, hosts=2, index=0)
-    if owner.tables.ring.pair(flow)[0] == "host-0":
+    if owner.tables.owners.owner_and_backup(flow)[0] == "host-0":
         [proposal] = owner.receive(datagram(flow), 1.0)
         answer = RelayReceived(RelayKind.BIND, "host-1", flow, target_id="bundelpers-1")
         owner.receive(answer, 1.0)
--- a/tests/test_systems/test_ownership.py
+++ b/tests/test_systems/test_ownership.py
@@ -3,27 +3,27 @@
 from __future__ import annotations
 
 from citronspring.entities import HostState
-from citronspring.systems.ownership import renew_ring
+from citronspring.systems.ownership import update_owners
 from citronspring.tables import FlowState
 from tests.test_systems import driver
 
 
 def set_state(core, host_id, state, now=1.0):
     core.tables.hosts[host_id].state = state
-    renew_ring(core.tables, now)
+    update_owners(core.tables, now)
 
 
 def test_flows_move_only_to_or_from_the_host_that_changed(snapshot):
     """A planned stop of one host does not disturb the flows of the others."""
     core = driver.make_core(snapshot, hosts=6)
     flows = [driver.flow_to(port=port) for port in range(40_000, 40_500)]
-    before = {flow: core.tables.ring.pair(flow) for flow in flows}
+    before = {flow: core.tables.owners.owner_and_backup(flow) for flow in flows}
     set_state(core, "host-3", HostState.LEAVING)
     for flow, (owner, second) in before.items():
-        now_owner = core.tables.ring.pair(flow)[0]
+        now_owner = core.tables.owners.owner_and_backup(flow)[0]
         assert now_owner == (second if owner == "host-3" else owner)
     set_state(core, "host-3", HostState.SUSPECT)
-    assert {flow: core.tables.ring.pair(flow) for flow in flows} == before
+    assert {flow: core.tables.owners.owner_and_backup(flow) for flow in flows} == before
 
 
 def test_owner_that_loses_a_flow_keeps_an_uncounted_copy(snapshot):
@@ -35,7 +35,7 @@
     set_state(core, "host-1", HostState.ALIVE)
     rows = core.tables.flows.rows
     for flow, target_id in placed.items():
-        mine = core.tables.ring.pair(flow)[0] == "host-0"
+        mine = core.tables.owners.owner_and_backup(flow)[0] == "host-0"
         assert rows[flow].state == (FlowState.ESTABLISHED if mine else FlowState.BACKUP)
         assert rows[flow].target.target.target_id == target_id
     kept = sum(row.state == FlowState.ESTABLISHED for row in rows.values())
@@ -70,5 +70,5 @@
 def test_other_groups_own_nothing_here(snapshot):
     core = driver.make_core(snapshot, hosts=3)
     core.tables.group = "elsewhere"
-    renew_ring(core.tables, 1.0)
-    assert core.tables.ring.members == ("host-0",)
+    update_owners(core.tables, 1.0)
+    assert core.tables.owners.members == ("host-0",)
--- a/tests/test_systems/test_placement.py
+++ b/tests/test_systems/test_placement.py
@@ -11,8 +11,8 @@
 from citronspring.systems.loads import FRESH_WEIGHT
 from citronspring.systems.placement import (
     ALL_CANDIDATES,
-    CANDIDATES,
-    WINDOW,
+    COMPARED_TARGETS,
+    PLACEMENT_WINDOW,
     choose_target,
     rank_targets,
 )
@@ -55,11 +55,11 @@
     core = driver.make_core(Snapshot(1, (make_account(targets=100),)))
     flow = driver.flow_to()
     ranked = rank_targets(flow, account_of(core).targets)
-    assert choose(core, flow) in ranked[:CANDIDATES]
-    for row in ranked[: WINDOW - 1]:
+    assert choose(core, flow) in ranked[:COMPARED_TARGETS]
+    for row in ranked[: PLACEMENT_WINDOW - 1]:
         row.flows = row.target.max_connections
-    assert choose(core, flow) is ranked[WINDOW - 1]
-    ranked[WINDOW - 1].flows = row.target.max_connections
+    assert choose(core, flow) is ranked[PLACEMENT_WINDOW - 1]
+    ranked[PLACEMENT_WINDOW - 1].flows = row.target.max_connections
     assert choose(core, flow) is RefusalReason.TARGETS_FULL
 
 
--- a/tests/test_systems/test_spread.py
+++ b/tests/test_systems/test_replication.py
@@ -24,8 +24,8 @@
     SendControl,
     SnapshotRead,
 )
-from citronspring.systems.bulk import cut_into_parts
-from citronspring.systems.spread import pieces_of
+from citronspring.systems.replication import pieces_of
+from citronspring.systems.snapshot_transfer import cut_into_parts
 from tests.conftest import make_account, make_host
 from tests.test_systems.cluster import SETTLE, Cluster, settled
 
@@ -44,7 +44,7 @@
     return core
 
 
-def tell(core, message, now=0.0):
+def deliver(core, message, now=0.0):
     actions = core.receive(ControlReceived("host-1", message), now)
     return [item.message for item in actions if isinstance(item, SendControl)]
 
@@ -146,7 +146,7 @@
     core = make_core()
     highest = 1
     for message in order:
-        tell(core, message)
+        deliver(core, message)
         assert core.tables.revision >= highest
         highest = core.tables.revision
     assert core.tables.revision == 8
@@ -156,9 +156,9 @@
 def test_record_beyond_a_gap_waits_and_the_gap_is_asked_for():
     records = make_records(4)
     core = make_core()
-    assert RecordsRequest(1) in tell(core, Records((records[3],)))
+    assert RecordsRequest(1) in deliver(core, Records((records[3],)))
     assert core.tables.revision == 1
-    tell(core, Records(tuple(records[1:3])))
+    deliver(core, Records(tuple(records[1:3])))
     assert core.tables.revision == 4
 
 
@@ -173,13 +173,13 @@
     before = core.tables.accounts["bundelpers"].account
     core.receive(SnapshotRead(Snapshot(3, (make_account(targets=1),))), 0.0)
     core.receive(RecordsRead(tuple(records[1:3])), 0.0)
-    tell(core, Records(tuple(records[:2])))
-    tell(core, SnapshotPart(2, 0, 2, (make_account(targets=2),)))
-    tell(core, Ack(1, 2))
+    deliver(core, Records(tuple(records[:2])))
+    deliver(core, SnapshotPart(2, 0, 2, (make_account(targets=2),)))
+    deliver(core, Ack(1, 2))
     assert core.tables.revision == 5
     assert core.tables.accounts["bundelpers"].account == before
-    assert core.tables.spread.bulk is None
-    assert not core.tables.spread.out_of_order
+    assert core.tables.replication.bulk is None
+    assert not core.tables.replication.out_of_order
 
 
 def test_copy_never_mixes_two_revisions():
@@ -194,13 +194,13 @@
     assert len(old) == len(new) == 4
     core = make_core()
     for part in (0, 1):
-        tell(core, SnapshotPart(5, part, 4, old[part]))
+        deliver(core, SnapshotPart(5, part, 4, old[part]))
     for part in (3, 2):
-        tell(core, SnapshotPart(6, part, 4, new[part]))
-        tell(core, SnapshotPart(5, part, 4, old[part]))
+        deliver(core, SnapshotPart(6, part, 4, new[part]))
+        deliver(core, SnapshotPart(5, part, 4, old[part]))
     assert core.tables.revision == 1
     for part in (0, 1):
-        tell(core, SnapshotPart(6, part, 4, new[part]))
+        deliver(core, SnapshotPart(6, part, 4, new[part]))
     assert core.tables.revision == 6
     assert all(len(row.targets) == 14 for row in core.tables.accounts.values())
 
@@ -209,9 +209,9 @@
     accounts = [make_account(f"a{index}", 15, f"192.0.2.{index}") for index in range(3)]
     parts = cut_into_parts(accounts)
     core = make_core()
-    tell(core, SnapshotPart(5, 0, 3, parts[0]))
+    deliver(core, SnapshotPart(5, 0, 3, parts[0]))
     core.tick(0.0)
-    tell(core, SnapshotPart(5, 2, 3, parts[2]), 0.1)
+    deliver(core, SnapshotPart(5, 2, 3, parts[2]), 0.1)
     for now in (0.1, 0.2):
         assert asked_for(core, now) == []
     assert asked_for(core, 0.35) == [SnapshotRequest(5, 1)]
@@ -228,9 +228,9 @@
     It can only know that it is behind from what its peers say.
     """
     core = make_core()
-    tell(core, Ack(1, 7))
+    deliver(core, Ack(1, 7))
     assert core.tables.hosts["host-1"].revision == 7
-    tell(core, Ack(2, 3))
+    deliver(core, Ack(2, 3))
     assert core.tables.hosts["host-1"].revision == 7
 
 
