--- a/tests/test_systems/test_routing.py
+++ b/tests/test_systems/test_routing.py
@@ -32,7 +32,7 @@
 
 
 def hint(core, flow, now, target_id="bundelpers-2"):
-    owner = core.tables.ring.pair(flow)[0]
+    owner = core.tables.owners.owner_and_backup(flow)[0]
     event = RelayReceived(RelayKind.HINT, owner, flow, target_id=target_id)
     core.receive(event, now)
 
@@ -48,11 +48,11 @@
     flow = driver.owned_flow(core, owner=False)
     [first] = core.receive(driver.from_caller(flow), 0.0)
     assert first.kind is RelayKind.TO_OWNER
-    assert first.host_id == core.tables.ring.pair(flow)[0]
+    assert first.host_id == core.tables.owners.owner_and_backup(flow)[0]
     for event in (driver.from_caller(flow), driver.syn(flow)):
         [second] = core.receive(driver.relayed(event), 0.0)
-        assert (second.kind, second.host_id) == (RelayKind.ASK, first.host_id)
-        event = driver.relayed(event, kind=RelayKind.ASK)
+        assert (second.kind, second.host_id) == (RelayKind.QUERY, first.host_id)
+        event = driver.relayed(event, kind=RelayKind.QUERY)
         [third] = core.receive(event, 0.0)
         assert (third.kind, third.packet) == (RelayKind.UNKNOWN, None)
     assert not core.tables.flows.rows
@@ -157,7 +157,9 @@
     flow = driver.owned_flow(core, owner=False)
     core.receive(RelayReceived(RelayKind.HINT, "host-0", flow, target_id="x"), 0.0)
     other = next(
-        name for name in core.tables.hosts if name != core.tables.ring.pair(flow)[0]
+        name
+        for name in core.tables.hosts
+        if name != core.tables.owners.owner_and_backup(flow)[0]
     )
     event = RelayReceived(RelayKind.HINT, other, flow, target_id="bundelpers-2")
     core.receive(event, 0.0)
@@ -239,7 +241,7 @@
     core = driver.make_core(snapshot, hosts=3)
     owner = kind is not RelayKind.HINT
     flow = driver.owned_flow(core, owner=owner)
-    sender = "host-1" if owner else core.tables.ring.pair(flow)[0]
+    sender = "host-1" if owner else core.tables.owners.owner_and_backup(flow)[0]
     event = driver.from_caller(flow, data=b"x")
     if kind is RelayKind.TO_OWNER:
         event = driver.from_target(flow, "inzendloket-0", data=b"x")
