--- a/benchmarks/tokens.py
+++ b/benchmarks/tokens.py
@@ -16,7 +16,7 @@
 from citronspring.endpoints import Endpoint
 from citronspring.flags import ACK, SYN
 from citronspring.host_settings import HostSettings
-from citronspring.platform.__main__ import TRANSLATION
+from citronspring.platform.__main__ import PLATFORM_ADAPTER
 from citronspring.platform.packets import HEADER
 from citronspring.tokens.balancer import TokenBalancer
 from citronspring.tokens.entities import Packet, Route, Share, route_key
@@ -183,7 +183,7 @@
             zone="north",
             packets=free_endpoint(socket.SOCK_DGRAM),
             readiness=free_endpoint(socket.SOCK_STREAM),
-            copies=free_endpoint(socket.SOCK_STREAM),
+            peer_endpoint=free_endpoint(socket.SOCK_STREAM),
             messages=free_endpoint(socket.SOCK_DGRAM),
             peers=(),
             store=Endpoint(LOOPBACK, 9),
@@ -193,7 +193,7 @@
             settling_time=4.0,
             stop_grace=6.0,
         )
-        host = TokenHost(settings, TRANSLATION)
+        host = TokenHost(settings, PLATFORM_ADAPTER)
         host.core = make_core(TARGETS, sink.getsockname()[1])
         forward = bare_forwarder(bare, sink.getsockname())
         ours, theirs = [], []
@@ -207,7 +207,7 @@
                 drain(sink)
         host.packets.close()
         host.server.listener.close()
-        host.copies.listener.close()
+        host.peer_endpoint.listener.close()
     return statistics.median(ours), statistics.median(theirs)
 
 
--- a/citronspring/bundles.py
+++ b/citronspring/bundles.py
@@ -11,7 +11,7 @@
 from _frozen_importlib import ModuleSpec
 from marshal import dumps, loads
 
-from citronspring.lean import TYPE_CHECKING, stat
+from citronspring.light_stdlib import TYPE_CHECKING, stat
 
 if TYPE_CHECKING:
     from types import CodeType, ModuleType
@@ -42,13 +42,13 @@
         found = self.modules.get(name)
         if found is None:
             return None
-        path_below, changed_at, size, _ = found
-        source = f"{self.root}/{path_below}"
+        relative_path, changed_at, size, _ = found
+        source = f"{self.root}/{relative_path}"
         state = stat(source)
         if (state.st_mtime_ns, state.st_size) != (changed_at, size):
             # Built from another state of the sources: they count.
             return None
-        is_package = path_below.endswith("/__init__.py")
+        is_package = relative_path.endswith("/__init__.py")
         spec = ModuleSpec(name, self, origin=source, is_package=is_package)
         spec.has_location = True
         if is_package:
@@ -63,7 +63,9 @@
         exec(self.modules[module.__name__][3], module.__dict__)
 
 
-def write_bundle(root: str, modules: dict[str, CodeType], inits: list[str]) -> bytes:
+def encode_bundle(
+    root: str, modules: dict[str, CodeType], init_sources: list[str]
+) -> bytes:
     """Return the bytes of a bundle.
 
     Parameters
@@ -72,15 +74,15 @@
         Folder of the package.
     modules : dict
         Code of each module by its name; its file name is the path of the source.
-    inits : list of str
+    init_sources : list of str
         Sources of the methods that data classes compile.
     """
     rows = {}
     for name, code in modules.items():
         state = stat(code.co_filename)
-        path_below = code.co_filename.removeprefix(f"{root}/")
-        rows[name] = (path_below, state.st_mtime_ns, state.st_size, code)
-    compiled = {source: compile(source, "<record>", "exec") for source in inits}
+        relative_path = code.co_filename.removeprefix(f"{root}/")
+        rows[name] = (relative_path, state.st_mtime_ns, state.st_size, code)
+    compiled = {source: compile(source, "<record>", "exec") for source in init_sources}
     return dumps((sys.version, rows, compiled))
 
 
@@ -96,7 +98,7 @@
         return False
     sys.meta_path.insert(0, BundleFinder(root, rows))
     # Imported only now, so that it comes from the bundle as well.
-    from citronspring.records import COMPILED
+    from citronspring.records import COMPILED_INITS
 
-    COMPILED.update(compiled)
+    COMPILED_INITS.update(compiled)
     return True
--- a/citronspring/daemons/followers.py
+++ b/citronspring/daemons/follower_server.py
@@ -5,7 +5,7 @@
 from citronspring.daemons.http_server import HttpServer
 from citronspring.daemons.store_calls import COPY_PATH, MILLISECONDS, NEWS_PATH
 from citronspring.events import NEWS_REFUSED
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.tokens.copies import OK
 from citronspring.tokens.news import Poll
 
@@ -25,10 +25,10 @@
 
 #: Connections of other hosts kept at once: the hosts of a zone, 310 at the size to
 #: design for, with room for as many that start anew.
-MOST_FOLLOWERS = 700
+MAX_FOLLOWERS = 700
 
 
-class Followers:
+class FollowerServer:
     """Answers other hosts, some of them only once there is news.
 
     Parameters
@@ -57,7 +57,7 @@
         self.clock = clock
         self.write = write
         self.polls: dict[ServerConnection, Poll] = {}
-        self.server = HttpServer(selector, endpoint, self.answer, MOST_FOLLOWERS, write)
+        self.server = HttpServer(selector, endpoint, self.answer, MAX_FOLLOWERS, write)
 
     def answer(
         self, path: str, connection: ServerConnection
--- a/citronspring/daemons/host.py
+++ b/citronspring/daemons/host.py
@@ -11,8 +11,8 @@
 
 from citronspring import __version__
 from citronspring.application import Application
-from citronspring.daemons.carrier import Carrier
 from citronspring.daemons.control import ControlChannel, wall_clock
+from citronspring.daemons.packet_io import PacketIO
 from citronspring.daemons.prober import Prober
 from citronspring.daemons.reader import PlatformReader
 from citronspring.daemons.sockets import receive_forever
@@ -39,11 +39,11 @@
     from citronspring.settings import Settings
 
 #: Seconds between two ticks of the core.
-TICK = 0.05
+TICK_INTERVAL = 0.05
 
 #: Seconds that a starting host waits for its configuration before it says that it
 #: serves all the same.
-START_TIME = 5.0
+CONFIGURATION_TIMEOUT = 5.0
 
 
 def boot_clock() -> float:
@@ -84,18 +84,18 @@
             settings.limits.max_flows,
             incarnation=boot_time,
         )
-        self.carrier = Carrier.from_settings(
+        self.packet_io = PacketIO.from_settings(
             self.core, self.application, settings, clock
         )
-        perform = self.carrier.perform
+        perform = self.packet_io.perform
         self.control = ControlChannel.from_settings(
             self.core, settings, boot_time, clock, perform
         )
         self.reader = PlatformReader(self.core, source, clock, perform)
-        self.prober = Prober(self.find_health_endpoint, self.take_probe_result)
+        self.prober = Prober(self.find_health_endpoint, self.handle_probe_result)
         #: Highest revision that was announced as applied.
         self.revision = 0
-        self.application.connect("action", self.take_action)
+        self.application.connect("action", self.handle_action)
         log_application(self.application)
         self.stopping = anyio.Event()
 
@@ -110,18 +110,18 @@
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
         """Serve until the core says the host may stop."""
-        with closing(self.carrier), closing(self.control), closing(self.prober):
+        with closing(self.packet_io), closing(self.control), closing(self.prober):
             await self.serve(task_status)
         self.application.emit("stopped")
 
     async def serve(self, task_status: TaskStatus[None]) -> None:
         """Run every part of the host until it may stop."""
         async with anyio.create_task_group() as group:
-            carrier = self.carrier
-            begin = carrier.begin_batch
+            packet_io = self.packet_io
+            begin = packet_io.begin_batch
             for sock, handle in (
-                (carrier.tunnel, carrier.receive_tunnelled),
-                (carrier.relay, carrier.receive_relayed),
+                (packet_io.tunnel, packet_io.receive_tunnelled),
+                (packet_io.relay, packet_io.receive_relayed),
             ):
                 group.start_soon(receive_forever, sock, handle, begin)
             control = self.control
@@ -139,20 +139,20 @@
 
     async def wait_for_configuration(self) -> None:
         """Wait for a first configuration, from a peer or the platform."""
-        with anyio.move_on_after(START_TIME) as scope:
+        with anyio.move_on_after(CONFIGURATION_TIMEOUT) as scope:
             while self.core.tables.revision == 0 and not self.reader.answered.is_set():
-                await anyio.sleep(TICK)
+                await anyio.sleep(TICK_INTERVAL)
         if scope.cancelled_caught:
             log(NOT_CONFIGURED)
 
     async def tick_forever(self) -> None:
         """Run the core's timed systems."""
         while True:
-            self.carrier.perform(self.core.tick(self.clock()))
+            self.packet_io.perform(self.core.tick(self.clock()))
             self.control.flush()
-            self.carrier.count_kernel_drops()
+            self.packet_io.count_kernel_drops()
             self.announce_revision()
-            await anyio.sleep(TICK)
+            await anyio.sleep(TICK_INTERVAL)
 
     def announce_revision(self) -> None:
         """Tell listeners of a revision that has come in force."""
@@ -160,7 +160,7 @@
             self.revision = self.core.tables.revision
             self.application.emit("revision-applied", self.revision)
 
-    def take_action(self, action: Action) -> None:
+    def handle_action(self, action: Action) -> None:
         """Do what the core asks for beside packets."""
         match action:
             case SendControl():
@@ -177,9 +177,9 @@
         row = self.core.tables.targets.get(target_id)
         return None if row is None else row.target.health
 
-    def take_probe_result(self, result: ProbeResult) -> None:
+    def handle_probe_result(self, result: ProbeResult) -> None:
         """Hand what a prober learnt to the core."""
-        self.carrier.perform(self.core.receive(result, self.clock()))
+        self.packet_io.perform(self.core.receive(result, self.clock()))
 
     def leave(self) -> None:
         """Start a graceful stop."""
--- a/citronspring/daemons/http_client.py
+++ b/citronspring/daemons/http_client.py
@@ -7,8 +7,7 @@
 from citronspring.daemons.poller import EVENT_READ, EVENT_WRITE
 from citronspring.http_messages import MessageError, MessageReader
 from citronspring.http_request import HttpAnswer
-from citronspring.lean import INFINITY, TYPE_CHECKING
-from citronspring.lean_sockets import (
+from citronspring.light_sockets import (
     AF_INET,
     IPPROTO_TCP,
     SO_ERROR,
@@ -17,6 +16,7 @@
     TCP_NODELAY,
     Socket,
 )
+from citronspring.light_stdlib import INFINITY, TYPE_CHECKING
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -33,14 +33,14 @@
 #: Seconds without a byte after which an answer that has begun to move is given up:
 #: two lost segments in a row take 0.6 s to come again. With a connection and a pause,
 #: 1.8 s of the tightest settling time of 4 s.
-STALL = 1.0
+STALL_TIMEOUT = 1.0
 
 #: Bytes read at once.
 READ_SIZE = 262_144
 
 #: Largest answer taken, in bytes; a value of one megabyte in base64 with its
 #: neighbours stays below.
-LARGEST_ANSWER = 8_000_000
+MAX_ANSWER_BYTES = 8_000_000
 
 #: Cause of the failure of a call whose answer is larger than was asked for.
 TOO_LARGE = b"the answer is too large"
@@ -60,15 +60,15 @@
 
     def __init__(self, deadline: float = -INFINITY) -> None:
         self.deadline = deadline
-        self.moved = 0
+        self.bytes_moved = 0
         #: Bytes that had moved at the last look.
-        self.seen = 0
+        self.bytes_at_last_update = 0
 
-    def look(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Put the deadline off if bytes have moved since the last look."""
-        if self.moved > self.seen:
-            self.seen = self.moved
-            self.deadline = max(self.deadline, now + STALL)
+        if self.bytes_moved > self.bytes_at_last_update:
+            self.bytes_at_last_update = self.bytes_moved
+            self.deadline = max(self.deadline, now + STALL_TIMEOUT)
 
 
 class HttpClient:
@@ -91,9 +91,9 @@
         self.done: Callable[[HttpAnswer], None] | None = None
         self.progress = Progress()
         self.connect_deadline = 0.0
-        self.reader = MessageReader(answers=True)
+        self.reader = MessageReader(expect_responses=True)
         #: Largest body that is taken.
-        self.largest: float = LARGEST_ANSWER
+        self.max_body: float = MAX_ANSWER_BYTES
 
     @property
     def busy(self) -> bool:
@@ -106,17 +106,17 @@
         deadline: float,
         now: float,
         done: Callable[[HttpAnswer], None],
-        largest: float = LARGEST_ANSWER,
+        max_body: float = MAX_ANSWER_BYTES,
     ) -> None:
         """Send a request; ``done`` is called once, also when nothing comes back.
 
-        An answer with a body of more than ``largest`` bytes is not taken.
+        An answer with a body of more than ``max_body`` bytes is not taken.
         """
         self.outgoing = request.encode(self.endpoint)
         self.done = done
         self.progress = Progress(deadline)
-        self.largest = min(largest, LARGEST_ANSWER)
-        self.reader = MessageReader(answers=True)
+        self.max_body = min(max_body, MAX_ANSWER_BYTES)
+        self.reader = MessageReader(expect_responses=True)
         if self.sock is None:
             self.connect_deadline = now + CONNECT_TIMEOUT
             self.connect()
@@ -144,7 +144,7 @@
 
     def check_deadline(self, now: float) -> None:
         """Give the call up if its time has passed, and nothing is coming in."""
-        self.progress.look(now)
+        self.progress.update(now)
         if self.busy and now >= self.next_deadline():
             cause = b"no answer in time" if self.connected else b"no connection in time"
             self.fail(cause)
@@ -204,7 +204,7 @@
         if not data or not self.busy:
             self.fail(b"the connection was closed")
             return
-        self.progress.moved += len(data)
+        self.progress.bytes_moved += len(data)
         try:
             self.reader.feed(data)
             answer = self.reader.next_message()
@@ -212,16 +212,16 @@
             self.fail(str(error).encode())
             return
         if answer is not None:
-            self.take(answer)
-        elif self.reader.size > self.largest:
+            self.handle_answer(answer)
+        elif self.reader.body_size > self.max_body:
             self.fail(TOO_LARGE)
 
-    def take(self, answer: Message) -> None:
+    def handle_answer(self, answer: Message) -> None:
         """Hand an answer over."""
-        if len(answer.body) > self.largest:
+        if len(answer.body) > self.max_body:
             self.fail(TOO_LARGE)
             return
-        if not answer.keeps_open:
+        if not answer.keep_alive:
             self.close()
         done, self.done = self.done, None
         assert done is not None
--- a/citronspring/daemons/http_server.py
+++ b/citronspring/daemons/http_server.py
@@ -6,14 +6,14 @@
 from citronspring.daemons.poller import EVENT_READ, EVENT_WRITE
 from citronspring.events import ANSWER_CUT
 from citronspring.http_messages import MessageError, MessageReader
-from citronspring.lean import TYPE_CHECKING
-from citronspring.lean_sockets import (
+from citronspring.light_sockets import (
     AF_INET,
     SO_REUSEADDR,
     SOCK_STREAM,
     SOL_SOCKET,
     Socket,
 )
+from citronspring.light_stdlib import TYPE_CHECKING
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 #: Connections kept at once unless more are asked for; the oldest is closed for
 #: another.
-MOST_CONNECTIONS = 64
+MAX_CONNECTIONS = 64
 
 #: Connections that wait to be accepted.
 BACKLOG = 64
@@ -33,7 +33,7 @@
 READ_SIZE = 8192
 
 #: Reason phrases of the answers given.
-REASONS = {200: "OK", 404: "Not Found", 410: "Gone", 503: "Service Unavailable"}
+REASON_PHRASES = {200: "OK", 404: "Not Found", 410: "Gone", 503: "Service Unavailable"}
 
 
 class HttpServer:
@@ -48,7 +48,7 @@
     answer : callable
         Takes a path and the connection, and returns status and body; None if it will
         reply later.
-    most_connections : int
+    max_connections : int
         Connections kept at once.
     write : callable, optional
         Logs an event; takes its number and fields.
@@ -59,13 +59,13 @@
         selector: Poller,
         endpoint: Endpoint,
         answer: Callable[[str, ServerConnection], tuple[int, str | bytes] | None],
-        most_connections: int = MOST_CONNECTIONS,
+        max_connections: int = MAX_CONNECTIONS,
         write: Callable[[int, dict[str, object]], None] | None = None,
     ) -> None:
         self.selector = selector
         self.answer = answer
         self.write = write
-        self.most_connections = most_connections
+        self.max_connections = max_connections
         self.connections: dict[ServerConnection, None] = {}
         #: Those of them whose answer is still going out.
         self.sending: set[ServerConnection] = set()
@@ -83,24 +83,24 @@
         except OSError:
             # The other side has gone again, or descriptors ran out: it comes anew.
             return
-        if len(self.connections) >= self.most_connections:
+        if len(self.connections) >= self.max_connections:
             next(iter(self.connections)).close()
         connection = ServerConnection(self, sock, address[0])
         self.connections[connection] = None
 
     def run(self, now: float) -> None:
         """Close the connections whose other side no longer takes its answer."""
-        for connection in [one for one in self.sending if one.is_stuck(now)]:
-            self.note_cut(connection)
+        for connection in [one for one in self.sending if one.is_stalled(now)]:
+            self.log_truncated_answer(connection)
             connection.close()
 
-    def note_cut(self, connection: ServerConnection) -> None:
+    def log_truncated_answer(self, connection: ServerConnection) -> None:
         """Log that an answer did not go out whole."""
         if self.write is None:
             return
         fields: dict[str, object] = {
             "path": connection.path,
-            "sent": connection.progress.moved,
+            "sent": connection.progress.bytes_moved,
             "left": len(connection.outgoing),
         }
         self.write(ANSWER_CUT.number, fields)
@@ -118,9 +118,9 @@
         #: Bytes of answers that have not gone out yet, and how the rest moves.
         self.outgoing = b""
         self.progress = Progress()
-        self.reader = MessageReader(answers=False)
+        self.reader = MessageReader(expect_responses=False)
         #: Whether the other side may send another request.
-        self.keeps_open = True
+        self.keep_alive = True
         sock.setblocking(False)
         server.selector.register(sock, EVENT_READ, self.handle)
 
@@ -143,16 +143,16 @@
                 request = self.reader.next_message()
                 if request is None:
                     break
-                self.take_request(request)
+                self.handle_request(request)
         except BlockingIOError:
             return
         except (OSError, MessageError):
             self.close()
 
-    def take_request(self, request: Message) -> None:
+    def handle_request(self, request: Message) -> None:
         """Answer a request, now or later."""
         self.path = request.target
-        self.keeps_open = request.keeps_open
+        self.keep_alive = request.keep_alive
         answer = self.server.answer(self.path, self)
         if answer is not None:
             self.reply(*answer)
@@ -166,7 +166,7 @@
         """Send an answer."""
         body = content.encode() if isinstance(content, str) else content
         head = (
-            f"HTTP/1.1 {status} {REASONS[status]}\r\n"
+            f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\n"
             f"Content-Length: {len(body)}\r\nContent-Type: text/plain\r\n\r\n"
         )
         self.outgoing += head.encode() + body
@@ -182,14 +182,14 @@
         except OSError:
             self.close()
             return
-        self.progress.moved += sent
+        self.progress.bytes_moved += sent
         self.outgoing = self.outgoing[sent:]
-        if not self.outgoing and not self.keeps_open:
+        if not self.outgoing and not self.keep_alive:
             self.close()
             return
-        self.wait_to_send(bool(self.outgoing))
+        self.watch_writable(bool(self.outgoing))
 
-    def wait_to_send(self, waits: bool) -> None:
+    def watch_writable(self, waits: bool) -> None:
         """Have the selector tell, or no longer, when the socket takes more."""
         if waits == (self in self.server.sending):
             return
@@ -200,9 +200,9 @@
         wanted = EVENT_READ | EVENT_WRITE if waits else EVENT_READ
         self.server.selector.modify(self.sock, wanted, self.handle)
 
-    def is_stuck(self, now: float) -> bool:
+    def is_stalled(self, now: float) -> bool:
         """Whether the other side has taken nothing of its answer for too long."""
-        self.progress.look(now)
+        self.progress.update(now)
         return now >= self.progress.deadline
 
     def close(self) -> None:
--- a/citronspring/daemons/line_log.py
+++ b/citronspring/daemons/line_log.py
@@ -5,18 +5,18 @@
 import time
 
 from citronspring.events import CATALOGUE, LINES_LEFT_OUT, UNKNOWN_EVENT
-from citronspring.json_text import writer_of
-from citronspring.lean import TYPE_CHECKING, Counter, set_blocking, write_bytes
+from citronspring.json_text import compact_encoder
+from citronspring.light_stdlib import TYPE_CHECKING, Counter, set_blocking, write_bytes
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
 #: Lines a second of one kind of event. At 200 bytes a line and about ten kinds under
 #: load this is some 60 KB and 3 ms of processor a second.
-LINES_A_SECOND = 30
+MAX_LINES_PER_SECOND = 30
 
 #: Bytes that wait for a reader of the output that is slow; more are left out.
-MOST_WAITING = 65536
+MAX_BUFFERED_BYTES = 65536
 
 #: Seconds over which lines are counted.
 WINDOW = 1.0
@@ -31,7 +31,7 @@
         Where the lines go; made non-blocking.
     host_id : str
         Stands in each line.
-    show_flow : callable, optional
+    format_flow : callable, optional
         Returns the key of a flow as text; hexadecimal if not given.
     """
 
@@ -39,15 +39,15 @@
         self,
         descriptor: int,
         host_id: str,
-        show_flow: Callable[[bytes], str] = bytes.hex,
+        format_flow: Callable[[bytes], str] = bytes.hex,
     ) -> None:
         self.descriptor = descriptor
-        self.show_flow = show_flow
-        self.as_json = writer_of(self.show)
+        self.format_flow = format_flow
+        self.encode_json = compact_encoder(self.to_text)
         self.host_id = host_id
-        self.waiting = bytearray()
+        self.buffer = bytearray()
         self.written: Counter[int] = Counter()
-        self.left_out: Counter[int] = Counter()
+        self.omitted: Counter[int] = Counter()
         self.window_ends_at = 0.0
         set_blocking(descriptor, False)
 
@@ -56,8 +56,8 @@
         if now >= self.window_ends_at:
             self.start_window(now)
         self.written[number] += 1
-        if self.written[number] > LINES_A_SECOND:
-            self.left_out[number] += 1
+        if self.written[number] > MAX_LINES_PER_SECOND:
+            self.omitted[number] += 1
             return
         self.queue(number, fields)
 
@@ -65,9 +65,9 @@
         """Give every kind its budget again, and tell what was left out."""
         self.window_ends_at = now + WINDOW
         self.written.clear()
-        if self.left_out:
-            lines = {str(number): count for number, count in self.left_out.items()}
-            self.left_out.clear()
+        if self.omitted:
+            lines = {str(number): count for number, count in self.omitted.items()}
+            self.omitted.clear()
             self.queue(LINES_LEFT_OUT.number, {"lines": lines})
 
     def queue(self, number: int, fields: Mapping[str, object]) -> None:
@@ -81,26 +81,26 @@
             "level": event.level.value,
             **fields,
         }
-        encoded = self.as_json(line).encode() + b"\n"
-        if len(self.waiting) + len(encoded) > MOST_WAITING:
-            self.left_out[number] += 1
+        encoded = self.encode_json(line).encode() + b"\n"
+        if len(self.buffer) + len(encoded) > MAX_BUFFERED_BYTES:
+            self.omitted[number] += 1
             return
-        self.waiting += encoded
+        self.buffer += encoded
 
-    def show(self, value: object) -> str:
+    def to_text(self, value: object) -> str:
         """Return what JSON has no form for as text."""
-        return self.show_flow(value) if isinstance(value, bytes) else str(value)
+        return self.format_flow(value) if isinstance(value, bytes) else str(value)
 
     def flush(self) -> None:
         """Write as much as the output takes now."""
-        if not self.waiting:
+        if not self.buffer:
             return
         try:
-            written = write_bytes(self.descriptor, self.waiting)
+            written = write_bytes(self.descriptor, self.buffer)
         except BlockingIOError:
             return
         except OSError:
             # Nobody reads the log any more; serving goes on without it.
-            self.waiting.clear()
+            self.buffer.clear()
             return
-        del self.waiting[:written]
+        del self.buffer[:written]
--- a/citronspring/daemons/carrier.py
+++ b/citronspring/daemons/packet_io.py
@@ -37,7 +37,7 @@
     from citronspring.settings import Settings
 
 
-class Carrier:
+class PacketIO:
     """Moves packets between the sockets and the core.
 
     Parameters
@@ -76,7 +76,7 @@
         application: Application,
         settings: Settings,
         clock: Callable[[], float],
-    ) -> Carrier:
+    ) -> PacketIO:
         """Bind the sockets that the settings name."""
         return cls(core, application, settings, clock)
 
--- a/citronspring/daemons/translation.py
+++ b/citronspring/daemons/platform_adapter.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.records import record
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 
 
 @record
-class Translation:
+class PlatformAdapter:
     """Functions between a platform's formats and the product's types."""
 
     #: Raises SettingsError.
@@ -35,7 +35,7 @@
     encode_reset: Callable[[Packet], bytes]
     caller_ip: Callable[[Packet], str]
     #: Returns a flow's key as ``caller:port>service:port``.
-    show_flow: Callable[[bytes], str]
+    format_flow: Callable[[bytes], str]
     encode_call: Callable[[ListEntries | WatchEntries], HttpRequest]
     #: Takes the call, and status, body and headers of its answer.
     decode_answer: Callable[
--- a/citronspring/daemons/poller.py
+++ b/citronspring/daemons/poller.py
@@ -1,19 +1,19 @@
 """Waits for sockets, as a selector of the standard library does, at less of a start.
 
-See `citronspring.lean` for why a host does not import ``selectors``.
+See `citronspring.light_stdlib` for why a host does not import ``selectors``.
 """
 
 from __future__ import annotations
 
 from select import EPOLLIN, EPOLLOUT, epoll
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.records import record
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from citronspring.lean_sockets import Socket
+    from citronspring.light_sockets import Socket
 
 #: What a socket is waited for, as in ``selectors``.
 EVENT_READ = 1
--- a/citronspring/daemons/first_call.py
+++ b/citronspring/daemons/prefetch.py
@@ -6,14 +6,14 @@
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING
-from citronspring.lean_sockets import (
+from citronspring.light_sockets import (
     AF_INET,
     IPPROTO_TCP,
     SOCK_STREAM,
     TCP_NODELAY,
     Socket,
 )
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.records import record
 
 if TYPE_CHECKING:
@@ -23,11 +23,11 @@
 
 #: Seconds that a start waits for the connection: five times the usual way there and
 #: back. A store that is away costs no more than that.
-CONNECT_WAIT = 0.01
+CONNECT_TIMEOUT = 0.01
 
 
 @record
-class FirstCall:
+class Prefetch:
     """A call that is under way."""
 
     call: ListEntries
@@ -35,13 +35,13 @@
     sent_at: float
 
 
-def make_first_call(
+def start_prefetch(
     endpoint: Endpoint, call: ListEntries, request: HttpRequest, now: float
-) -> FirstCall | None:
+) -> Prefetch | None:
     """Send a call to the store; None if there is no connection at once."""
     sock = Socket(AF_INET, SOCK_STREAM)
     try:
-        sock.settimeout(CONNECT_WAIT)
+        sock.settimeout(CONNECT_TIMEOUT)
         sock.connect((endpoint.ip, endpoint.port))
         sock.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
         sock.setblocking(False)
@@ -50,4 +50,4 @@
         # The host's usual call follows, and logs what fails.
         sock.close()
         return None
-    return FirstCall(call, sock, now)
+    return Prefetch(call, sock, now)
--- a/citronspring/daemons/prober.py
+++ b/citronspring/daemons/prober.py
@@ -29,11 +29,11 @@
 
 #: Probes at once, and probes that may wait. A host probes each of its targets
 #: every two seconds, so that these are enough for hundreds of slow ones.
-CONCURRENCY = 32
-MOST_WAITING = 1024
+MAX_CONCURRENT = 32
+MAX_QUEUED = 1024
 
 #: Bytes of an answer; more is taken for an error.
-MOST_BYTES = 4096
+MAX_ANSWER_BYTES = 4096
 
 
 class HealthAnswer(BaseModel):
@@ -64,8 +64,8 @@
         self.pending: set[str] = set()
         #: Probes not made since too many waited.
         self.dropped = 0
-        streams = anyio.create_memory_object_stream[str](MOST_WAITING)
-        self.requests, self.waiting = streams
+        streams = anyio.create_memory_object_stream[str](MAX_QUEUED)
+        self.requests, self.queue = streams
 
     def request(self, action: ProbeTarget) -> None:
         """Queue a probe; never blocks, since the core's carrier calls it."""
@@ -80,25 +80,25 @@
 
     async def run(self) -> None:
         """Probe until cancelled."""
-        limits = httpx.Limits(max_connections=CONCURRENCY)
+        limits = httpx.Limits(max_connections=MAX_CONCURRENT)
         client = httpx.AsyncClient(
             limits=limits, timeout=PROBE_TIMEOUT, trust_env=False
         )
         async with client, anyio.create_task_group() as group:
-            for _ in range(CONCURRENCY):
-                group.start_soon(self.work, client, self.waiting.clone())
+            for _ in range(MAX_CONCURRENT):
+                group.start_soon(self.run_worker, client, self.queue.clone())
 
     def close(self) -> None:
         """Take no more requests."""
         self.requests.close()
-        self.waiting.close()
+        self.queue.close()
 
-    async def work(
-        self, client: httpx.AsyncClient, waiting: MemoryObjectReceiveStream[str]
+    async def run_worker(
+        self, client: httpx.AsyncClient, queue: MemoryObjectReceiveStream[str]
     ) -> None:
         """Make one probe after the other."""
-        with waiting:
-            async for target_id in waiting:
+        with queue:
+            async for target_id in queue:
                 result = await self.probe(client, target_id)
                 self.pending.discard(target_id)
                 if result is not None:
@@ -129,6 +129,6 @@
         response.raise_for_status()
         async for chunk in response.aiter_bytes():
             body += chunk
-            if len(body) > MOST_BYTES:
+            if len(body) > MAX_ANSWER_BYTES:
                 break
-    return body[: MOST_BYTES + 1]
+    return body[: MAX_ANSWER_BYTES + 1]
--- a/citronspring/daemons/reader.py
+++ b/citronspring/daemons/reader.py
@@ -21,21 +21,21 @@
     from citronspring.tables import Tables
 
 #: Seconds a watch waits before it is asked anew.
-WATCH_TIME = 30.0
+WATCH_TIMEOUT = 30.0
 
 #: Seconds a read may take; what comes later is too old to say what is current.
-READ_TIME = 2.0
+READ_TIMEOUT = 2.0
 
 #: Seconds until the first try after a failure, and the most they double to.
-FIRST_RETRY = 0.5
-LAST_RETRY = 8.0
+INITIAL_RETRY_DELAY = 0.5
+MAX_RETRY_DELAY = 8.0
 
 #: Seconds between two looks at whether this host is a reader.
-LOOK_INTERVAL = 0.5
+ROLE_CHECK_INTERVAL = 0.5
 
 #: Seconds after which a confirmation is told again: a platform that came back from an
 #: older copy has lost it, and addresses would move no more until the next change.
-CONFIRM_AGAIN = 60.0
+CONFIRM_INTERVAL = 60.0
 
 #: States of hosts whose revision a zone's confirmation waits for.
 SERVING = (HostState.ALIVE, HostState.SUSPECT, HostState.LEAVING)
@@ -85,12 +85,12 @@
         self.source = source
         self.clock = clock
         self.perform = perform
-        self.wanted = anyio.Event()
+        self.read_requested = anyio.Event()
         #: Set by the first successful read.
         self.answered = anyio.Event()
         #: The platform is not called before this time.
         self.retry_at = 0.0
-        self.retry_interval = FIRST_RETRY
+        self.retry_interval = INITIAL_RETRY_DELAY
         #: Revision that this host told the platform its zone is at, and until when
         #: that is taken to be there.
         self.confirmed = 0
@@ -98,22 +98,22 @@
 
     def request(self) -> None:
         """Have the platform read soon."""
-        self.wanted.set()
+        self.read_requested.set()
 
     async def read_on_request(self) -> None:
         """Read whenever it is asked for."""
         while True:
-            await self.wanted.wait()
+            await self.read_requested.wait()
             await self.wait_for_retry()
-            self.wanted = anyio.Event()
+            self.read_requested = anyio.Event()
             if not await self.attempt(self.read):
-                self.wanted.set()
+                self.read_requested.set()
 
     async def watch(self) -> None:
         """While this host is a reader, ask for reads as soon as there is news."""
         while True:
             if not self.core.tables.replication.is_reader:
-                await anyio.sleep(LOOK_INTERVAL)
+                await anyio.sleep(ROLE_CHECK_INTERVAL)
                 continue
             await self.wait_for_retry()
             await self.attempt(self.watch_once)
@@ -121,7 +121,7 @@
     async def confirm(self) -> None:
         """While this host is a reader, tell the platform what its zone is at."""
         while True:
-            await anyio.sleep(LOOK_INTERVAL)
+            await anyio.sleep(ROLE_CHECK_INTERVAL)
             revision = zone_revision(self.core.tables)
             due = self.confirmation_is_due(revision)
             if self.core.tables.replication.is_reader and due:
@@ -143,16 +143,16 @@
             await call()
         except (CitronspringError, OSError, TimeoutError) as error:
             self.retry_at = self.clock() + self.retry_interval
-            self.retry_interval = min(2 * self.retry_interval, LAST_RETRY)
+            self.retry_interval = min(2 * self.retry_interval, MAX_RETRY_DELAY)
             log(PLATFORM_READ_FAILED, error=str(error))
             return False
-        self.retry_interval = FIRST_RETRY
+        self.retry_interval = INITIAL_RETRY_DELAY
         return True
 
     async def read(self) -> None:
         """Read what is newer than the core has and give it to the core."""
         asked_at = self.clock()
-        with anyio.fail_after(READ_TIME):
+        with anyio.fail_after(READ_TIMEOUT):
             event = await self.read_event(self.core.tables.revision, asked_at)
         self.answered.set()
         self.perform(self.core.receive(event, self.clock()))
@@ -168,18 +168,18 @@
     async def watch_once(self) -> None:
         """Wait for one change, for a bounded time."""
         revision = self.core.tables.revision
-        with anyio.move_on_after(WATCH_TIME):
+        with anyio.move_on_after(WATCH_TIMEOUT):
             if await self.source.watch_head(revision) > revision:
                 await self.read()
 
     async def confirm_once(self) -> None:
         """Tell the platform what this zone is at."""
-        with anyio.fail_after(READ_TIME):
+        with anyio.fail_after(READ_TIMEOUT):
             zone = self.core.tables.zone
             self.confirmed = await self.source.confirm_zone(
                 zone, zone_revision(self.core.tables)
             )
-            self.confirmed_until = self.clock() + CONFIRM_AGAIN
+            self.confirmed_until = self.clock() + CONFIRM_INTERVAL
 
 
 def zone_revision(tables: Tables) -> int:
--- a/citronspring/daemons/sockets.py
+++ b/citronspring/daemons/sockets.py
@@ -48,14 +48,14 @@
     return sock
 
 
-def begin_nothing() -> None:
+def no_op() -> None:
     """Stand for a handler that needs no notice of a batch."""
 
 
 async def receive_forever(
     sock: socket.socket,
     handle: Callable[[bytes, Source], None],
-    begin: Callable[[], None] = begin_nothing,
+    begin: Callable[[], None] = no_op,
 ) -> None:
     """Give every datagram to a handler, in batches.
 
--- a/citronspring/daemons/store_calls.py
+++ b/citronspring/daemons/store_calls.py
@@ -5,7 +5,7 @@
 from citronspring.daemons.http_client import TOO_LARGE, HttpClient
 from citronspring.events import CALL_FAILED
 from citronspring.http_request import HttpRequest
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.tokens.copies import decode_copy
 from citronspring.tokens.election import CALL_TIMEOUT, claim_delay
 from citronspring.tokens.messages import (
@@ -22,9 +22,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from citronspring.daemons.first_call import FirstCall
+    from citronspring.daemons.platform_adapter import PlatformAdapter
     from citronspring.daemons.poller import Poller
-    from citronspring.daemons.translation import Translation
+    from citronspring.daemons.prefetch import Prefetch
     from citronspring.endpoints import Endpoint
     from citronspring.host_settings import HostSettings
     from citronspring.http_request import HttpAnswer
@@ -55,13 +55,13 @@
         Tells when connections can be read or written.
     settings : HostSettings
         Addresses, the host's name and its share of a processor.
-    translation : Translation
+    adapter : Translation
         The adapter to the platform.
     perform : callable
         Does what the core decided; takes the actions and the time.
     clock : callable
         Returns the time in seconds.
-    first_call : FirstCall, optional
+    prefetch : Prefetch, optional
         A call to the store that is under way.
     """
 
@@ -70,14 +70,14 @@
         core: TokenBalancer,
         selector: Poller,
         settings: HostSettings,
-        translation: Translation,
+        adapter: PlatformAdapter,
         perform: Callable[[list[Action], float], None],
         clock: Callable[[], float],
-        first_call: FirstCall | None = None,
+        prefetch: Prefetch | None = None,
     ) -> None:
         self.core = core
         self.settings = settings
-        self.translation = translation
+        self.adapter = adapter
         self.perform = perform
         self.clock = clock
         self.store = HttpClient(selector, settings.store)
@@ -85,10 +85,10 @@
         self.election = HttpClient(selector, settings.store)
         self.clients = (self.store, self.peer, self.election)
         self.claim_delay = claim_delay(settings.host_id, settings.processor_share)
-        if first_call is not None:
-            self.adopt(first_call)
+        if prefetch is not None:
+            self.adopt(prefetch)
 
-    def adopt(self, first: FirstCall) -> None:
+    def adopt(self, first: Prefetch) -> None:
         """Take a call that is under way for the first that the core asks for.
 
         Its time counts from now: nobody could have read an answer before.
@@ -100,7 +100,7 @@
 
         self.store.adopt(first.sock, deadline, done)
 
-    def take_settings(self, settings: HostSettings) -> None:
+    def apply_settings(self, settings: HostSettings) -> None:
         """Use other settings from the next call on."""
         self.settings = settings
         self.store.endpoint = self.election.endpoint = settings.store
@@ -127,7 +127,7 @@
         if not self.reading:
             self.read(now)
         if not self.election.busy:
-            self.elect(now)
+            self.run_election(now)
 
     # What is in force --------------------------------------------------------------
 
@@ -144,13 +144,13 @@
         match call:
             case ReadPeer():
                 peers = self.settings.peers
-                self.ask_host(peers[call.turn % len(peers)])
+                self.select_host(peers[call.turn % len(peers)])
                 self.peer.send(HttpRequest("GET", COPY_PATH), deadline, now, done)
             case FollowReader():
-                self.ask_host(call.endpoint)
+                self.select_host(call.endpoint)
                 self.peer.send(news_request(call), deadline, now, done)
             case _:
-                request = self.translation.encode_call(call)
+                request = self.adapter.encode_call(call)
                 largest = self.core.largest_answer(call)
                 self.store.send(request, deadline, now, done, largest)
 
@@ -181,11 +181,11 @@
             "to": str(client.endpoint),
             "cause": cause,
             "took": round(now - sent_at, 3),
-            "received": client.progress.moved,
+            "received": client.progress.bytes_moved,
         }
         self.perform([Log(CALL_FAILED.number, fields)], now)
 
-    def ask_host(self, endpoint: Endpoint) -> None:
+    def select_host(self, endpoint: Endpoint) -> None:
         """Turn to another host.
 
         The connection to the store is closed: unused, it may go silent unnoticed, and
@@ -208,7 +208,7 @@
             case FollowReader():
                 return decode_news(found.status, found.body)
             case _:
-                return self.translation.decode_answer(
+                return self.adapter.decode_answer(
                     call, found.status, found.body, found.headers
                 )
 
@@ -219,26 +219,26 @@
 
     # Who reads for the zone ----------------------------------------------------------
 
-    def elect(self, now: float) -> None:
+    def run_election(self, now: float) -> None:
         """Make the next call for the choice of the zone's reader, if it is time."""
-        own = self.settings.copies
+        own = self.settings.peer_endpoint
         call = self.core.next_election_call(own, self.claim_delay, now)
         if call is None:
             return
 
         def done(found: HttpAnswer) -> None:
-            self.take_election(call, self.decode_election(call, found), now)
+            self.handle_election_answer(call, self.decode_election(call, found), now)
 
-        request = self.translation.encode_election_call(call)
+        request = self.adapter.encode_election_call(call)
         self.election.send(request, now + CALL_TIMEOUT, now, done)
 
     def decode_election(self, call: ElectionCall, found: HttpAnswer) -> ElectionAnswer:
         """Translate what came back of such a call."""
         if found.status == 0:
             return unanswered(found.body)
-        return self.translation.decode_election_answer(call, found.status, found.body)
+        return self.adapter.decode_election_answer(call, found.status, found.body)
 
-    def take_election(
+    def handle_election_answer(
         self, call: ElectionCall, answer: ElectionAnswer, sent_at: float
     ) -> None:
         """Take what such a call brought."""
--- a/citronspring/daemons/token_host.py
+++ b/citronspring/daemons/token_host.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from citronspring.daemons.clocks import boot_clock
-from citronspring.daemons.followers import Followers
+from citronspring.daemons.follower_server import FollowerServer
 from citronspring.daemons.http_server import HttpServer
 from citronspring.daemons.line_log import LineLog
 from citronspring.daemons.poller import EVENT_READ, Poller
@@ -19,8 +19,7 @@
     STOPPED,
 )
 from citronspring.flags import SYN
-from citronspring.lean import TYPE_CHECKING
-from citronspring.lean_sockets import (
+from citronspring.light_sockets import (
     AF_INET,
     SIGHUP,
     SIGINT,
@@ -34,6 +33,7 @@
     set_wakeup_fd,
     socketpair,
 )
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.tokens.balancer import TokenBalancer
 from citronspring.tokens.messages import Drop, Forward, Log, ResetCaller, Tell
 from citronspring.tokens.news import LINK_SHARE
@@ -41,9 +41,9 @@
 from citronspring.tokens.times import ReaderTimes
 
 if TYPE_CHECKING:
-    from citronspring.daemons.first_call import FirstCall
     from citronspring.daemons.http_server import ServerConnection
-    from citronspring.daemons.translation import Translation
+    from citronspring.daemons.platform_adapter import PlatformAdapter
+    from citronspring.daemons.prefetch import Prefetch
     from citronspring.endpoints import Endpoint
     from citronspring.host_settings import HostSettings
     from citronspring.tokens.messages import Action
@@ -52,7 +52,7 @@
 BATCH = 64
 
 #: Largest datagram read; larger ones are no packets.
-LARGEST_DATAGRAM = 2048
+MAX_DATAGRAM = 2048
 
 #: Kernel buffer asked for, bytes: what comes in while the process cannot run.
 RECEIVE_BUFFER = 1 << 20
@@ -60,7 +60,7 @@
 #: Seconds after the start for which packets wait in the kernel for a configuration.
 #: It is there after some 20 ms; a caller's opening that waits so long is served,
 #: and one that were dropped would come again only after 200 ms.
-LONGEST_DEFERRAL = 1.0
+MAX_RECEIVE_DELAY = 1.0
 
 #: Seconds left before the process is killed when it stops by itself.
 STOP_MARGIN = 0.7
@@ -71,10 +71,10 @@
 #: Longest sleep in seconds. A pause of the process within a sleep is only noticed
 #: once it is longer than what is left of it, so that packets may have waited for this
 #: time and the core's `PAUSE` together.
-LONGEST_SLEEP = 0.1
+MAX_SLEEP = 0.1
 
 
-def times_of(settings: HostSettings) -> ReaderTimes:
+def reader_times(settings: HostSettings) -> ReaderTimes:
     """Return the limits of calls that settings ask for."""
     return ReaderTimes.from_bounds(
         settings.change_bound, settings.settling_time, settings.link_rate
@@ -88,31 +88,31 @@
     ----------
     settings : HostSettings
         Checked settings.
-    translation : Translation
+    adapter : Translation
         The adapter to the platform.
-    first_call : FirstCall, optional
+    prefetch : Prefetch, optional
         A call to the store that is under way.
     """
 
     def __init__(
         self,
         settings: HostSettings,
-        translation: Translation,
-        first_call: FirstCall | None = None,
+        adapter: PlatformAdapter,
+        prefetch: Prefetch | None = None,
     ) -> None:
         self.settings = settings
-        self.translation = translation
-        self.decode_packet = translation.decode_packet
-        self.encode = translation.encode_for_target
+        self.adapter = adapter
+        self.decode_packet = adapter.decode_packet
+        self.encode = adapter.encode_for_target
         self.started_at = boot_clock()
         self.core = TokenBalancer.from_config(
-            settings.host_id, settings.zone, times_of(settings), len(settings.peers)
+            settings.host_id, settings.zone, reader_times(settings), len(settings.peers)
         )
-        self.share_link(settings)
+        self.limit_follower_rate(settings)
         # Until packets are read, the first turn lasts: what then has waited since the
         # start for longer than a pause is too old to be placed.
         self.core.begin_turn(self.started_at)
-        self.log = LineLog(1, settings.host_id, translation.show_flow)
+        self.log = LineLog(1, settings.host_id, adapter.format_flow)
         self.selector = Poller()
         self.packets = self.bind(self.settings.packets)
         self.packets.setsockopt(SOL_SOCKET, SO_RCVBUF, RECEIVE_BUFFER)
@@ -121,27 +121,27 @@
         self.receiving = False
         #: False while packets may still wait: after a pause of the process, answers
         #: among them would count as missing if timers went first.
-        self.drained = True
+        self.socket_drained = True
         self.calls = StoreCalls(
             self.core,
             self.selector,
             settings,
-            translation,
+            adapter,
             self.perform,
             boot_clock,
-            first_call,
+            prefetch,
         )
         self.server = HttpServer(
             self.selector, settings.readiness, self.answer, write=self.write
         )
-        self.followers = Followers(
-            self.core, self.selector, settings.copies, boot_clock, self.write
+        self.follower_server = FollowerServer(
+            self.core, self.selector, settings.peer_endpoint, boot_clock, self.write
         )
         self.stopping = False
-        self.settings_version = translation.settings_version()
+        self.settings_version = adapter.settings_version()
         self.settings_check_at = self.started_at + SETTINGS_INTERVAL
 
-    def share_link(self, settings: HostSettings) -> None:
+    def limit_follower_rate(self, settings: HostSettings) -> None:
         """Set what followers may take of the host's link."""
         self.core.tables.news.rate = LINK_SHARE * settings.link_rate
 
@@ -154,14 +154,14 @@
 
     def run(self) -> None:
         """Serve until told to stop."""
-        self.catch_signals()
+        self.install_signal_handlers()
         self.write(STARTED.number, {"zone": self.settings.zone})
         while not self.stopping:
-            self.turn()
+            self.run_once()
         self.write(STOPPED.number, {"flows": len(self.core.tables.flows)})
         self.log.flush()
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """Wait for something to do, and do it: packets first, then timers."""
         sleep = self.sleep_time(boot_clock())
         ready = self.selector.select(sleep)
@@ -172,10 +172,10 @@
         for key, mask in ready:
             key.data(mask)
         now = boot_clock()
-        if self.drained:
+        if self.socket_drained:
             self.perform(self.core.tick(now), now)
         self.calls.run(now)
-        self.followers.run(now)
+        self.follower_server.run(now)
         self.server.run(now)
         self.start_receiving(now)
         self.check_settings(now)
@@ -184,7 +184,7 @@
 
     def sleep_time(self, now: float) -> float:
         """Return the seconds until a timer is due."""
-        until = min(self.core.next_deadline(now), now + LONGEST_SLEEP)
+        until = min(self.core.next_deadline(now), now + MAX_SLEEP)
         return max(0.0, min(until, self.calls.next_deadline()) - now)
 
     def write(self, number: int, fields: dict[str, object]) -> None:
@@ -197,22 +197,22 @@
         """Read packets once they can be placed, or have waited for too long."""
         if self.receiving:
             return
-        if self.core.configured or now - self.started_at >= LONGEST_DEFERRAL:
+        if self.core.configured or now - self.started_at >= MAX_RECEIVE_DELAY:
             self.receiving = True
             self.selector.register(self.packets, EVENT_READ, self.read_packets)
 
     def read_packets(self, mask: int) -> None:
         """Decide about the packets that wait."""
         now = boot_clock()
-        self.drained = False
+        self.socket_drained = False
         taken = 0
         while taken < BATCH:
             data = self.next_datagram()
-            if self.drained:
+            if self.socket_drained:
                 break
             taken += 1
             if data is not None:
-                self.take_datagram(data, now)
+                self.handle_datagram(data, now)
         if taken:
             took = (boot_clock() - now) / taken
             self.core.tables.histograms["decision"].record(took, taken)
@@ -220,15 +220,15 @@
     def next_datagram(self) -> bytes | None:
         """Return a datagram that waits, None where there is none to take."""
         try:
-            return self.packets.recv(LARGEST_DATAGRAM)
+            return self.packets.recv(MAX_DATAGRAM)
         except BlockingIOError:
-            self.drained = True
+            self.socket_drained = True
         except OSError:
             # An earlier datagram met a closed port; it tells of no other.
             self.core.tables.counters["receive-errors"] += 1
         return None
 
-    def take_datagram(self, data: bytes, now: float) -> None:
+    def handle_datagram(self, data: bytes, now: float) -> None:
         """Decide about one datagram."""
         try:
             packet = self.decode_packet(data)
@@ -257,7 +257,7 @@
                 case Log():
                     self.log.write(action.number, action.fields, now)
                 case Tell():
-                    self.tell(action)
+                    self.send_message(action)
 
     def forward(self, action: Forward) -> None:
         """Send a packet to its target."""
@@ -269,8 +269,8 @@
     def reset(self, action: ResetCaller) -> None:
         """Reset a caller's attempt."""
         self.core.tables.counters[f"reset {action.reason.value}"] += 1
-        data = self.translation.encode_reset(action.packet)
-        ip = self.translation.caller_ip(action.packet)
+        data = self.adapter.encode_reset(action.packet)
+        ip = self.adapter.caller_ip(action.packet)
         self.send(data, (ip, self.settings.packets.port))
 
     def drop(self, action: Drop) -> None:
@@ -298,7 +298,7 @@
         counters = self.core.tables.counters
         for _ in range(BATCH):
             try:
-                data, address = self.messages.recvfrom(LARGEST_DATAGRAM)
+                data, address = self.messages.recvfrom(MAX_DATAGRAM)
             except BlockingIOError:
                 return
             except OSError:
@@ -313,7 +313,7 @@
             actions = self.core.take_host_message(message, address[0], now)
             self.perform(actions, now)
 
-    def tell(self, action: Tell) -> None:
+    def send_message(self, action: Tell) -> None:
         """Send a message to another host; a lost one is made up for by the next."""
         address = (action.to, self.settings.messages.port)
         try:
@@ -325,7 +325,7 @@
 
     def answer(self, path: str, connection: ServerConnection) -> tuple[int, str]:
         """Answer a request to the readiness address."""
-        if path == self.translation.readiness_path:
+        if path == self.adapter.readiness_path:
             return (200, "ready\n") if self.core.ready else (503, "not ready\n")
         now = boot_clock()
         if path == "/state":
@@ -337,13 +337,13 @@
             return 200, self.core.metrics(now)
         return 404, "ask for the readiness path, /metrics or /state\n"
 
-    def catch_signals(self) -> None:
+    def install_signal_handlers(self) -> None:
         """Have signals wake the selector; their handlers run between turns."""
         receiver, sender = socketpair()
         receiver.setblocking(False)
         sender.setblocking(False)
         set_wakeup_fd(sender.fileno(), warn_on_full_buffer=False)
-        self.wakeups = receiver, sender
+        self.wakeup_sockets = receiver, sender
         self.selector.register(receiver, EVENT_READ, self.clear_wakeups)
         set_signal_handler(SIGTERM, self.on_stop)
         set_signal_handler(SIGINT, self.on_stop)
@@ -352,7 +352,7 @@
 
     def clear_wakeups(self, mask: int) -> None:
         """Read what a signal wrote to wake the selector."""
-        self.wakeups[0].recv(64)
+        self.wakeup_sockets[0].recv(64)
 
     def on_stop(self, number: int, frame: object) -> None:
         """Leave: turn unready, forward on, then stop."""
@@ -371,7 +371,7 @@
         if now < self.settings_check_at:
             return
         self.settings_check_at = now + SETTINGS_INTERVAL
-        version = self.translation.settings_version()
+        version = self.adapter.settings_version()
         if version != self.settings_version:
             self.settings_version = version
             self.read_settings()
@@ -379,16 +379,16 @@
     def read_settings(self) -> None:
         """Put settings in force; bad ones change nothing."""
         try:
-            settings = self.translation.read_settings()
+            settings = self.adapter.read_settings()
         except SettingsError as error:
             self.write(SETTINGS_BAD.number, {"reason": str(error)})
             return
         changed = settings != self.settings
         self.write(SETTINGS_READ.number, {"changed": changed})
         self.settings = settings
-        self.calls.take_settings(settings)
-        self.share_link(settings)
-        self.core.times = times_of(settings)
+        self.calls.apply_settings(settings)
+        self.limit_follower_rate(settings)
+        self.core.times = reader_times(settings)
 
     def on_dump(self, number: int, frame: object) -> None:
         """Write the state of the process."""
--- a/citronspring/endpoints.py
+++ b/citronspring/endpoints.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 
 if TYPE_CHECKING:
     from typing import NamedTuple
 
-    class Fields(NamedTuple):
+    class EndpointFields(NamedTuple):
         """What an endpoint consists of."""
 
         ip: str
@@ -16,7 +16,7 @@
 else:
     from _collections import _tuplegetter
 
-    class Fields(tuple):
+    class EndpointFields(tuple):
         """The same without ``typing``, which a starting host does not import.
 
         Validators take what has ``_fields`` for a named tuple.
@@ -39,7 +39,7 @@
             return f"{type(self).__name__}(ip={self.ip!r}, port={self.port!r})"
 
 
-class Endpoint(Fields):
+class Endpoint(EndpointFields):
     """An IP address and a port of a process or a tunnel end; sockets take it as is.
 
     The address is in text form, IPv4 or IPv6.
--- a/citronspring/events.py
+++ b/citronspring/events.py
@@ -4,11 +4,11 @@
 
 import sys
 
-from citronspring.lean import Choice
+from citronspring.light_stdlib import LightEnum
 from citronspring.records import record
 
 
-class Level(Choice):
+class Level(LightEnum):
     """How loud an event is; the names are structlog's."""
 
     DEBUG = "debug"
--- a/citronspring/histogram.py
+++ b/citronspring/histogram.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import bisect_left
+from citronspring.light_stdlib import bisect_left
 
 #: Upper ends of the buckets in seconds: 50 microseconds to 26 seconds.
 BUCKETS = tuple(0.00005 * 2**step for step in range(20))
--- a/citronspring/host_settings.py
+++ b/citronspring/host_settings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.records import record
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
     #: Where readiness, metrics and the state dump are served.
     readiness: Endpoint
     #: Where peers ask for copies of what this host knows.
-    copies: Endpoint
+    peer_endpoint: Endpoint
     #: Where hosts of the zone tell each other of silent targets; the port is the
     #: same at all hosts.
     messages: Endpoint
--- a/citronspring/http_messages.py
+++ b/citronspring/http_messages.py
@@ -1,13 +1,13 @@
 """Messages of HTTP/1.1, cut out of the bytes of a connection.
 
 Written out here because the parser that the other mode uses imports half of what a
-start may cost, see `citronspring.lean`. It takes what RFC 9112 asks of both ends that
+start may cost, see `citronspring.light_stdlib`. It takes what RFC 9112 asks of both ends that
 this product has: bodies with a length or in chunks, and no others.
 """
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.records import record
 
 if TYPE_CHECKING:
@@ -15,20 +15,20 @@
 
 #: Bytes of a message before its body at most; those between hosts and of the store
 #: have some 200.
-LARGEST_HEAD = 16_384
+MAX_HEAD_BYTES = 16_384
 
 #: Bytes of a request's body at most; no question here has one.
-LARGEST_REQUEST = 16_384
+MAX_REQUEST_BODY_BYTES = 16_384
 
 #: Bytes of a line that gives the size of a chunk.
-LARGEST_CHUNK_LINE = 256
+MAX_CHUNK_LINE_BYTES = 256
 
 END_OF_HEAD = b"\r\n\r\n"
 END_OF_LINE = b"\r\n"
 
 #: Statuses of answers that come before the one that counts, and those without a body.
 FIRST_FINAL_STATUS = 200
-WITHOUT_BODY = (204, 304)
+BODILESS_STATUSES = (204, 304)
 
 HEX_DIGITS = frozenset(b"0123456789abcdefABCDEF")
 
@@ -42,7 +42,7 @@
     """A request or an answer."""
 
     #: The three parts of its first line.
-    start: tuple[bytes, bytes, bytes]
+    start_line: tuple[bytes, bytes, bytes]
     #: Values by name in small letters.
     headers: dict[bytes, bytes]
     body: bytes = b""
@@ -50,18 +50,18 @@
     @property
     def target(self) -> str:
         """Path and query of a request."""
-        return self.start[1].decode("ascii", "replace")
+        return self.start_line[1].decode("ascii", "replace")
 
     @property
     def status(self) -> int:
         """Status of an answer."""
-        return int(self.start[1])
+        return int(self.start_line[1])
 
     @property
-    def keeps_open(self) -> bool:
+    def keep_alive(self) -> bool:
         """Whether its sender will take or send another one."""
         wishes = self.headers.get(b"connection", b"").lower()
-        if b"HTTP/1.0" in self.start:
+        if b"HTTP/1.0" in self.start_line:
             return b"keep-alive" in wishes
         return b"close" not in wishes
 
@@ -71,13 +71,13 @@
 
     Parameters
     ----------
-    answers : bool
+    expect_responses : bool
         Whether answers are read, and not requests.
     """
 
-    def __init__(self, answers: bool) -> None:
-        self.answers = answers
-        self.waiting = bytearray()
+    def __init__(self, expect_responses: bool) -> None:
+        self.expect_responses = expect_responses
+        self.buffer = bytearray()
         #: The message whose body is not complete yet.
         self.message: Message | None = None
         #: Bytes of its body, None for one in chunks.
@@ -85,17 +85,17 @@
         self.chunks = bytearray()
 
     @property
-    def size(self) -> int:
+    def body_size(self) -> int:
         """Bytes that the body under way has, or says that it will have."""
         if self.message is None:
             return 0
         if self.length is not None:
             return self.length
-        return len(self.chunks) + len(self.waiting)
+        return len(self.chunks) + len(self.buffer)
 
     def feed(self, data: bytes) -> None:
         """Take bytes of the connection."""
-        self.waiting += data
+        self.buffer += data
 
     def next_message(self) -> Message | None:
         """Return the next message that is complete, None if there is none yet.
@@ -106,14 +106,14 @@
             If what has come is no message.
         """
         while self.message is None:
-            message = self.take_head()
+            message = self.parse_head()
             if message is None:
                 return None
-            if not self.answers or message.status >= FIRST_FINAL_STATUS:
-                self.length = body_length(message, self.answers)
+            if not self.expect_responses or message.status >= FIRST_FINAL_STATUS:
+                self.length = body_length(message, self.expect_responses)
                 self.message = message
-        body = self.take_chunks() if self.length is None else self.take(self.length)
-        if not self.answers and self.size > LARGEST_REQUEST:
+        body = self.parse_chunks() if self.length is None else self.consume(self.length)
+        if not self.expect_responses and self.body_size > MAX_REQUEST_BODY_BYTES:
             raise MessageError("the body of the request is too large")
         if body is None:
             return None
@@ -121,42 +121,42 @@
         message.body = body
         return message
 
-    def take_head(self) -> Message | None:
+    def parse_head(self) -> Message | None:
         """Return a message without its body, None while its head is not complete."""
-        end = self.waiting.find(END_OF_HEAD, 0, LARGEST_HEAD)
+        end = self.buffer.find(END_OF_HEAD, 0, MAX_HEAD_BYTES)
         if end < 0:
-            if len(self.waiting) >= LARGEST_HEAD:
+            if len(self.buffer) >= MAX_HEAD_BYTES:
                 raise MessageError("the head of the message is too large")
             return None
-        lines = bytes(self.waiting[:end]).split(END_OF_LINE)
-        del self.waiting[: end + len(END_OF_HEAD)]
-        return decode_head(lines, self.answers)
+        lines = bytes(self.buffer[:end]).split(END_OF_LINE)
+        del self.buffer[: end + len(END_OF_HEAD)]
+        return decode_head(lines, self.expect_responses)
 
-    def take(self, length: int) -> bytes | None:
+    def consume(self, length: int) -> bytes | None:
         """Return that many bytes once they are there."""
-        if len(self.waiting) < length:
+        if len(self.buffer) < length:
             return None
-        taken = bytes(self.waiting[:length])
-        del self.waiting[:length]
+        taken = bytes(self.buffer[:length])
+        del self.buffer[:length]
         return taken
 
-    def take_chunks(self) -> bytes | None:
+    def parse_chunks(self) -> bytes | None:
         """Return the chunks of a body together once the last one is there."""
         while True:
-            end = self.waiting.find(END_OF_LINE, 0, LARGEST_CHUNK_LINE)
+            end = self.buffer.find(END_OF_LINE, 0, MAX_CHUNK_LINE_BYTES)
             if end < 0:
-                if len(self.waiting) >= LARGEST_CHUNK_LINE:
+                if len(self.buffer) >= MAX_CHUNK_LINE_BYTES:
                     raise MessageError("the size of a chunk is missing")
                 return None
-            size = chunk_size(bytes(self.waiting[:end]))
+            size = chunk_size(bytes(self.buffer[:end]))
             start = end + len(END_OF_LINE)
             after = start + size + len(END_OF_LINE)
-            if len(self.waiting) < after:
+            if len(self.buffer) < after:
                 return None
-            if self.waiting[after - len(END_OF_LINE) : after] != END_OF_LINE:
+            if self.buffer[after - len(END_OF_LINE) : after] != END_OF_LINE:
                 raise MessageError("a chunk does not end where it says")
-            self.chunks += self.waiting[start : start + size]
-            del self.waiting[:after]
+            self.chunks += self.buffer[start : start + size]
+            del self.buffer[:after]
             if size == 0:
                 body = bytes(self.chunks)
                 self.chunks.clear()
@@ -170,22 +170,22 @@
         # The phrase behind the status may be missing.
         start.append(b"")
     if len(start) != 3:
-        refuse(lines[0])
+        raise_malformed(lines[0])
     version, status = (start[0], start[1]) if answer else (start[2], b"0")
     if not version.startswith(b"HTTP/1.") or not status.isdigit():
-        refuse(lines[0])
+        raise_malformed(lines[0])
     headers: dict[bytes, bytes] = {}
     for line in lines[1:]:
         name, colon, value = line.partition(b":")
         if not colon or not name or name != name.strip():
-            refuse(line)
+            raise_malformed(line)
         name, value = name.lower(), value.strip()
         if headers.setdefault(name, value) != value and name == b"content-length":
-            refuse(line)
+            raise_malformed(line)
     return Message((start[0], start[1], start[2]), headers)
 
 
-def refuse(line: bytes) -> NoReturn:
+def raise_malformed(line: bytes) -> NoReturn:
     """Raise the error of a line that belongs to no message."""
     raise MessageError(f"{line!r:.80} is no part of a message")
 
@@ -202,7 +202,7 @@
         if not length.isdigit():
             raise MessageError(f"{length!r:.40} is no length")
         return int(length)
-    if answer and message.status not in WITHOUT_BODY:
+    if answer and message.status not in BODILESS_STATUSES:
         raise MessageError("the answer does not say how long it is")
     return 0
 
--- a/citronspring/http_request.py
+++ b/citronspring/http_request.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.records import field, record
 
 if TYPE_CHECKING:
--- a/citronspring/json_text.py
+++ b/citronspring/json_text.py
@@ -1,27 +1,27 @@
 """JSON as `json` reads and writes it, without the modules that it imports.
 
-See `citronspring.lean` for why. The work is done by the same functions as in the
+See `citronspring.light_stdlib` for why. The work is done by the same functions as in the
 standard module, so texts and errors are the same.
 """
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 
-__all__ = ["dumps", "loads", "writer_of"]
+__all__ = ["dumps", "loads", "compact_encoder"]
 
 if TYPE_CHECKING:
     from collections.abc import Callable
     from json import dumps, loads
     from typing import Any
 
-    def writer_of(default: Callable[[Any], Any]) -> Callable[[object], str]:
+    def compact_encoder(default: Callable[[Any], Any]) -> Callable[[object], str]:
         """Return a function that writes values without spaces."""
 else:
     from _json import encode_basestring_ascii, make_encoder, make_scanner
 
     #: Characters that may stand around a value.
-    BLANKS = " \t\n\r"
+    WHITESPACE = " \t\n\r"
 
     #: Names of the numbers that JSON itself does not know.
     CONSTANTS = {
@@ -46,27 +46,27 @@
         """Return the value in a text, str or UTF-8; raises ValueError if it is none."""
         if not isinstance(text, str):
             text = bytes(text).decode()
-        text = text.strip(BLANKS)
+        text = text.strip(WHITESPACE)
         try:
             value, end = scan(text, 0)
         except (StopIteration, SystemError):
             # Without the standard module the scanner cannot say what is wrong.
             end = None
         if end != len(text):
-            return read_again(text)
+            return parse_with_json_module(text)
         return value
 
-    def read_again(text):
+    def parse_with_json_module(text):
         """Raise the error that the standard module has for a text."""
         from json import loads as standard
 
         return standard(text)
 
-    def refuse(value):
+    def raise_unsupported_type(value):
         """Raise TypeError for a value that JSON has no form for."""
         raise TypeError(f"{type(value).__name__} has no form in JSON")
 
-    def make_writer(default, colon, comma):
+    def chunk_encoder(default, colon, comma):
         """Return the function that writes a value as a list of pieces."""
         return make_encoder(
             None,
@@ -80,18 +80,18 @@
             True,
         )
 
-    write_pieces = make_writer(refuse, ": ", ", ")
+    encode_chunks = chunk_encoder(raise_unsupported_type, ": ", ", ")
 
     def dumps(value):
         """Return a value as text; raises TypeError if it has no form."""
-        return "".join(write_pieces(value, 0))
+        return "".join(encode_chunks(value, 0))
 
-    def writer_of(default):
+    def compact_encoder(default):
         """Return a function that writes values without spaces.
 
         ``default`` returns another value for one that has no form.
         """
-        pieces = make_writer(default, ":", ",")
+        pieces = chunk_encoder(default, ":", ",")
 
         def write(value):
             return "".join(pieces(value, 0))
--- a/citronspring/lean_sockets.py
+++ b/citronspring/light_sockets.py
@@ -1,11 +1,11 @@
 """Sockets and signals, without the enums that their standard modules make of names.
 
-See `citronspring.lean` for why.
+See `citronspring.light_stdlib` for why.
 """
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 
 __all__ = [
     "AF_INET",
@@ -64,9 +64,9 @@
         inet_pton,
         socketpair,
     )
-    from _socket import socket as PlainSocket  # noqa: N812
+    from _socket import socket as BaseSocket  # noqa: N812
 
-    class Socket(PlainSocket):
+    class Socket(BaseSocket):
         """A socket of the operating system."""
 
         __slots__ = ()
--- a/citronspring/lean.py
+++ b/citronspring/light_stdlib.py
@@ -5,14 +5,14 @@
 and ``collections`` bring along, so a starting host takes the built-in halves of these
 modules, and a class of its own where there is none. Type checkers see the standard
 ones; what is imported later may use them. Sockets and signals are in
-`citronspring.lean_sockets`.
+`citronspring.light_sockets`.
 """
 
 from __future__ import annotations
 
 __all__ = [
     "INFINITY",
-    "Choice",
+    "LightEnum",
     "Counter",
     "Struct",
     "bisect_left",
@@ -21,7 +21,7 @@
     "heappush",
     "set_blocking",
     "stat",
-    "variable",
+    "getenv",
     "write_bytes",
 ]
 
@@ -33,13 +33,13 @@
 if TYPE_CHECKING:
     from bisect import bisect_left
     from collections import Counter, deque
-    from enum import Enum as Choice
+    from enum import Enum as LightEnum
     from heapq import heappop, heappush
     from os import set_blocking, stat
     from os import write as write_bytes
     from struct import Struct
 
-    def variable(name: str) -> str | None:
+    def getenv(name: str) -> str | None:
         """Return a variable of the environment, None if it is not set."""
 else:
     from _bisect import bisect_left
@@ -57,7 +57,7 @@
         def __missing__(self, key):
             return 0
 
-    class Choice:
+    class LightEnum:
         """Base of classes whose constants are their only instances, as of an enum."""
 
         __slots__ = ("name", "value")
@@ -73,7 +73,7 @@
         def __repr__(self):
             return f"{type(self).__name__}.{self.name}"
 
-    def variable(name):
+    def getenv(name):
         """Return a variable of the environment, None if it is not set."""
         value = environ.get(name.encode())
         return None if value is None else value.decode(errors="surrogateescape")
--- a/citronspring/metrics.py
+++ b/citronspring/metrics.py
@@ -28,10 +28,10 @@
     from citronspring.tables import OpeningRow, Tables
 
 #: Longest time a recorder tells apart; a longer one counts as this.
-LONGEST_MICROSECONDS = 3_600_000_000
+MAX_MICROSECONDS = 3_600_000_000
 
 #: Significant digits of a recorded time. Two keep a recorder at 27 kB.
-DIGITS = 2
+SIGNIFICANT_DIGITS = 2
 
 #: One of so many decisions is timed: to time each would slow the path of packets.
 DECISION_SAMPLE = 16
@@ -43,11 +43,11 @@
     """Times in a histogram of fixed size."""
 
     def __init__(self) -> None:
-        self.histogram = HdrHistogram(1, LONGEST_MICROSECONDS, DIGITS)
+        self.histogram = HdrHistogram(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
 
     def record(self, seconds: float) -> None:
         """Add one time."""
-        microseconds = min(max(1, round(seconds * 1e6)), LONGEST_MICROSECONDS)
+        microseconds = min(max(1, round(seconds * 1e6)), MAX_MICROSECONDS)
         self.histogram.record_value(microseconds)
 
     @property
@@ -73,18 +73,18 @@
 
     recorder: TimeRecorder = field(default_factory=TimeRecorder)
     #: The first revision heard of and not in force yet, and when it was heard of.
-    awaited: int = 0
-    heard_at: float = 0.0
+    pending_revision: int = 0
+    pending_since: float = 0.0
 
     def observe(self, tables: Tables, now: float) -> None:
         """Compare the newest revision that any host tells of with this host's."""
-        if self.awaited and tables.revision >= self.awaited:
-            self.recorder.record(now - self.heard_at)
-            self.awaited = 0
+        if self.pending_revision and tables.revision >= self.pending_revision:
+            self.recorder.record(now - self.pending_since)
+            self.pending_revision = 0
         newest = max(row.revision for row in tables.hosts.values())
-        if not self.awaited and newest > tables.revision:
-            self.awaited = newest
-            self.heard_at = now
+        if not self.pending_revision and newest > tables.revision:
+            self.pending_revision = newest
+            self.pending_since = now
 
 
 class MeasuredBalancer(Balancer):
@@ -97,8 +97,8 @@
         self.decision_time = TimeRecorder()
         self.revision_lag = RevisionLag()
         #: Packets until the next decision is timed.
-        self.untimed = DECISION_SAMPLE
-        self.stopwatch: Callable[[], float] = time.perf_counter
+        self.until_next_sample = DECISION_SAMPLE
+        self.timer: Callable[[], float] = time.perf_counter
 
     def receive(self, event: Event, now: float) -> list[Action]:
         """Handle one event, and time some."""
@@ -109,9 +109,9 @@
             flow = event.flow
         else:
             return Balancer.receive(self, event, now)
-        self.untimed -= 1
+        self.until_next_sample -= 1
         opening = self.tables.openings.get(flow)
-        if opening is None and self.untimed:
+        if opening is None and self.until_next_sample:
             return Balancer.receive(self, event, now)
         return self.receive_measured(event, flow, opening, now)
 
@@ -119,11 +119,11 @@
         self, event: Event, flow: FlowKey, opening: OpeningRow | None, now: float
     ) -> list[Action]:
         """Handle a packet that is to be timed, or belongs to an opening."""
-        started_at = self.stopwatch()
+        started_at = self.timer()
         actions = Balancer.receive(self, event, now)
-        if self.untimed <= 0:
-            self.untimed = DECISION_SAMPLE
-            self.decision_time.record(self.stopwatch() - started_at)
+        if self.until_next_sample <= 0:
+            self.until_next_sample = DECISION_SAMPLE
+            self.decision_time.record(self.timer() - started_at)
         if opening is not None:
             self.note_opening(flow, opening, now)
         return actions
@@ -177,7 +177,7 @@
         yield from self.collect_hosts()
         yield from self.collect_accounts()
         for name, recorder in self.core.recorders().items():
-            yield summary_of(name, recorder)
+            yield summary_metric(name, recorder)
 
     def collect_counters(self) -> Iterator[Metric]:
         """Yield the core's counters under one name."""
@@ -228,7 +228,7 @@
         yield family
 
 
-def summary_of(name: str, recorder: TimeRecorder) -> Metric:
+def summary_metric(name: str, recorder: TimeRecorder) -> Metric:
     """Return a recorder as a summary."""
     full_name = f"citronspring_{name}_seconds"
     metric = Metric(full_name, f"{name.replace('_', ' ').capitalize()}.", "summary")
--- a/citronspring/platform/__main__.py
+++ b/citronspring/platform/__main__.py
@@ -5,10 +5,10 @@
 import sys
 
 from citronspring.daemons.clocks import boot_clock
-from citronspring.daemons.first_call import make_first_call
-from citronspring.daemons.translation import Translation
+from citronspring.daemons.platform_adapter import PlatformAdapter
+from citronspring.daemons.prefetch import start_prefetch
 from citronspring.errors import SettingsError
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.platform.leases import (
     decode_election_answer,
     encode_election_call,
@@ -18,7 +18,7 @@
     decode_packet,
     encode_for_target,
     encode_reset,
-    show_flow,
+    format_flow,
 )
 from citronspring.platform.settings import read_settings, settings_version
 from citronspring.platform.store import decode_answer, encode_call
@@ -31,17 +31,17 @@
 READINESS_PATH = "/api/ready"
 
 #: Exit code of a process whose settings cannot be used.
-BAD_SETTINGS = 2
+EXIT_BAD_SETTINGS = 2
 
 
-TRANSLATION = Translation(
+PLATFORM_ADAPTER = PlatformAdapter(
     read_settings=read_settings,
     settings_version=settings_version,
     decode_packet=decode_packet,
     encode_for_target=encode_for_target,
     encode_reset=encode_reset,
     caller_ip=caller_ip,
-    show_flow=show_flow,
+    format_flow=format_flow,
     encode_call=encode_call,
     decode_answer=decode_answer,
     encode_election_call=encode_election_call,
@@ -51,7 +51,7 @@
 
 
 #: Argument that has the settings checked and nothing started.
-CHECK = "check-settings"
+CHECK_COMMAND = "check-settings"
 
 
 def main() -> int:
@@ -60,8 +60,8 @@
         settings = read_settings()
     except SettingsError as error:
         sys.stderr.write(f"citronspring: {error}\n")
-        return BAD_SETTINGS
-    if sys.argv[1:] == [CHECK]:
+        return EXIT_BAD_SETTINGS
+    if sys.argv[1:] == [CHECK_COMMAND]:
         sys.stdout.write(f"the settings of {settings.host_id} are valid\n")
         return 0
     return serve(settings)
@@ -70,11 +70,11 @@
 def serve(settings: HostSettings) -> int:
     """Run a host until it is told to stop."""
     call = ListEntries()
-    first_call = make_first_call(settings.store, call, encode_call(call), boot_clock())
+    prefetch = start_prefetch(settings.store, call, encode_call(call), boot_clock())
     # Imported while the answer comes in.
     from citronspring.daemons.token_host import TokenHost
 
-    TokenHost(settings, TRANSLATION, first_call).run()
+    TokenHost(settings, PLATFORM_ADAPTER, prefetch).run()
     return 0
 
 
--- a/citronspring/platform/records.py
+++ b/citronspring/platform/entries.py
@@ -4,8 +4,8 @@
 
 from citronspring.errors import StoredValueError
 from citronspring.json_text import dumps, loads
-from citronspring.lean import INFINITY, TYPE_CHECKING
-from citronspring.platform.addresses import endpoint_of, ipv4_number, port_number
+from citronspring.light_stdlib import INFINITY, TYPE_CHECKING
+from citronspring.platform.addresses import parse_endpoint, parse_ipv4, parse_port
 from citronspring.tokens.entities import Route, Share, route_key
 from citronspring.tokens.entries import Configuration, Target, ZoneReader
 
@@ -28,7 +28,7 @@
 DRAIN_PREFIX = "op/evacuate/"
 
 #: Requests of this kind may run twice.
-IDEMPOTENT_KIND = "idempotent"
+IDEMPOTENT_ROUTE_TYPE = "idempotent"
 
 #: What a target says of itself: whether it is about to stop.
 LEAVING_BY_STATE = {"ready": False, "draining": True}
@@ -51,7 +51,7 @@
 START_FIELD = "born"
 
 #: Longest time in seconds that a target can say it stays slow: a day.
-LONGEST_WARMUP = 86_400.0
+MAX_WARMUP = 86_400.0
 
 #: Hexadecimal digits, for the number within a target's id.
 HEX_DIGITS = frozenset("0123456789abcdef")
@@ -59,7 +59,7 @@
 MILLISECOND = 0.001
 
 #: What decoding raises when a value has another shape than the pages say.
-UNUSABLE = (
+DECODE_ERRORS = (
     AttributeError,
     KeyError,
     IndexError,
@@ -80,15 +80,19 @@
         If the value is not what its key says.
     """
     if key == CONFIGURATION_KEY:
-        return decode_configuration(parse(value))
+        return decode_configuration(parse_object(value))
     if key.startswith(TARGET_PREFIX):
-        return decode_target(key.removeprefix(TARGET_PREFIX), parse(value), revision)
+        return decode_target(
+            key.removeprefix(TARGET_PREFIX), parse_object(value), revision
+        )
     if key.startswith(READER_PREFIX):
-        return decode_reader(key.removeprefix(READER_PREFIX), parse(value), revision)
+        return decode_reader(
+            key.removeprefix(READER_PREFIX), parse_object(value), revision
+        )
     return None
 
 
-def parse(value: bytes) -> dict[str, Any]:
+def parse_object(value: bytes) -> dict[str, Any]:
     """Return the object in a value."""
     try:
         found = loads(value)
@@ -107,15 +111,15 @@
             routes=tuple(decode_route(route) for route in body["routes"]),
             idle_timeout=float(body["limits"]["idle_timeout_ms"]) * MILLISECOND,
         )
-    except UNUSABLE as error:
+    except DECODE_ERRORS as error:
         raise StoredValueError(f"the configuration is not valid: {error!r}") from error
 
 
 def decode_route(body: dict[str, Any]) -> Route:
     """Translate a route."""
     # ``host`` is the service address and ``prefix`` its port between slashes.
-    address = ipv4_number(body["host"])
-    port = port_number(body["prefix"].strip("/"))
+    address = parse_ipv4(body["host"])
+    port = parse_port(body["prefix"].strip("/"))
     if "backends" in body:
         shares = tuple(
             Share(share["service"], float(share["weight"]))
@@ -127,13 +131,13 @@
         name=body["name"],
         key=route_key(address, port),
         shares=shares,
-        idempotent=body["route_type"] == IDEMPOTENT_KIND,
-        objective=objective_of(body.get("target_latency_ms")),
+        idempotent=body["route_type"] == IDEMPOTENT_ROUTE_TYPE,
+        objective=decode_objective(body.get("target_latency_ms")),
         priority=int(body.get("priority", 0)),
     )
 
 
-def objective_of(milliseconds: float | None) -> float:
+def decode_objective(milliseconds: float | None) -> float:
     """Return a latency objective in seconds; infinite where a route has none."""
     return float(milliseconds) * MILLISECOND if milliseconds else INFINITY
 
@@ -144,18 +148,18 @@
         check_target_fields(body)
         return Target(
             target_id=target_id,
-            incarnation=incarnation_of(target_id),
-            endpoint=endpoint_of(body["addr"]),
+            incarnation=parse_incarnation(target_id),
+            endpoint=parse_endpoint(body["addr"]),
             service=body["service"],
             zone=body["zone"],
             slots=max(1, body["concurrency"]),
             leaving=LEAVING_BY_STATE[body["state"]],
-            warmup=warmup_of(body["warmup_left_ms"]),
+            warmup=decode_warmup(body["warmup_left_ms"]),
             revision=revision,
-            started=start_of(body),
+            started=decode_start(body),
             sequence=body["seq"],
         )
-    except UNUSABLE as error:
+    except DECODE_ERRORS as error:
         raise StoredValueError(f"the target is not valid: {error!r}") from error
 
 
@@ -164,7 +168,7 @@
     for name, types in TARGET_FIELDS.items():
         if not has_type(body.get(name), types):
             raise ValueError(f"{name} is {body.get(name)!r:.40}")
-    if START_FIELD in body and start_of(body) is None:
+    if START_FIELD in body and decode_start(body) is None:
         raise ValueError(f"{START_FIELD} is {body[START_FIELD]!r:.40}")
 
 
@@ -173,15 +177,15 @@
     return type(value) in types
 
 
-def start_of(body: dict[str, Any]) -> int | None:
+def decode_start(body: dict[str, Any]) -> int | None:
     """Return which start of a target an entry is of, None if it does not say."""
     started = body.get(START_FIELD)
     return started if has_type(started, (int,)) else None
 
 
-def warmup_of(milliseconds: float) -> float:
+def decode_warmup(milliseconds: float) -> float:
     """Return how long a target stays slow, in seconds."""
-    if not 0 <= milliseconds <= LONGEST_WARMUP / MILLISECOND:
+    if not 0 <= milliseconds <= MAX_WARMUP / MILLISECOND:
         raise ValueError(f"a target cannot stay slow for {milliseconds!r:.40} ms")
     return milliseconds * MILLISECOND
 
@@ -189,8 +193,8 @@
 def decode_reader(zone: str, body: dict[str, Any], revision: int) -> ZoneReader:
     """Translate what the reader of a zone registered."""
     try:
-        return ZoneReader(zone, str(body["host"]), endpoint_of(body["at"]), revision)
-    except UNUSABLE as error:
+        return ZoneReader(zone, str(body["host"]), parse_endpoint(body["at"]), revision)
+    except DECODE_ERRORS as error:
         raise StoredValueError(f"the reader is not valid: {error!r}") from error
 
 
@@ -199,7 +203,7 @@
     return dumps({"host": host_id, "at": str(endpoint)}).encode()
 
 
-def incarnation_of(target_id: str) -> int:
+def parse_incarnation(target_id: str) -> int:
     """Return the number in a target's id, that of its hexadecimal digits."""
     _, _, digits = target_id.rpartition("-")
     if not digits or not HEX_DIGITS.issuperset(digits):
--- a/citronspring/platform/leases.py
+++ b/citronspring/platform/leases.py
@@ -6,8 +6,8 @@
 
 from citronspring.http_request import HttpRequest
 from citronspring.json_text import dumps, loads
-from citronspring.lean import TYPE_CHECKING
-from citronspring.platform.records import READER_PREFIX, UNUSABLE, encode_reader
+from citronspring.light_stdlib import TYPE_CHECKING
+from citronspring.platform.entries import DECODE_ERRORS, READER_PREFIX, encode_reader
 from citronspring.tokens.entries import count_of
 from citronspring.tokens.messages import (
     ClaimZone,
@@ -41,16 +41,18 @@
     match call:
         case GrantLease():
             ttl = round(call.ttl * MILLISECONDS)
-            return HttpRequest("POST", "/api/kv-lease", encode({"ttl_ms": ttl}))
+            return HttpRequest("POST", "/api/kv-lease", encode_body({"ttl_ms": ttl}))
         case RenewLease():
             return HttpRequest("POST", f"/api/kv-keep/{call.lease}", b"{}")
         case EndLease():
             return HttpRequest("DELETE", f"/api/kv-lease-end/{call.lease}")
         case ClaimZone():
-            return HttpRequest("POST", "/api/kv-txn", encode(claim_of(call)))
+            return HttpRequest(
+                "POST", "/api/kv-txn", encode_body(claim_transaction(call))
+            )
 
 
-def claim_of(call: ClaimZone) -> dict[str, Any]:
+def claim_transaction(call: ClaimZone) -> dict[str, Any]:
     """Return the write that registers a reader; as revision 0 means that none is."""
     key = READER_PREFIX + call.zone
     reader = encode_reader(call.host_id, call.endpoint)
@@ -62,7 +64,7 @@
     }
 
 
-def encode(body: dict[str, Any]) -> bytes:
+def encode_body(body: dict[str, Any]) -> bytes:
     """Return a body as it is sent."""
     return dumps(body).encode()
 
@@ -82,5 +84,5 @@
     try:
         found = loads(body)
         return LeaseGranted(int(found["lease"]), found["ttl_ms"] / MILLISECONDS)
-    except UNUSABLE as error:
+    except DECODE_ERRORS as error:
         return Unanswered(f"an answer that cannot be read: {error!r}")
--- a/citronspring/platform/packets.py
+++ b/citronspring/platform/packets.py
@@ -4,8 +4,8 @@
 
 from citronspring.errors import MalformedPacketError
 from citronspring.flags import ACK, FIN, RST, SYN
-from citronspring.lean import Struct
-from citronspring.lean_sockets import inet_ntoa
+from citronspring.light_sockets import inet_ntoa
+from citronspring.light_stdlib import Struct
 from citronspring.tokens.entities import PORT_BITS, Packet
 
 #: seq, ack, flags, echo, dport, sport, src, dst, sum, len. The fourth, ``echo``, is
@@ -17,7 +17,7 @@
 FLOW_KEY = slice(13, 25)
 
 #: Most bytes of payload in a packet.
-MOST_PAYLOAD = 1200
+MAX_PAYLOAD = 1200
 
 #: The platform's bits of flags and their meaning.
 WIRE_FLAGS = {16: SYN, 2: ACK, 64: FIN, 8: RST}
@@ -34,7 +34,7 @@
 
 #: The two ports of a flow's key, and the ports with both addresses.
 PORTS = Struct(">HH")
-FLOW = Struct(">HHII")
+FLOW_FIELDS = Struct(">HHII")
 
 
 def decode_packet(data: bytes) -> Packet:
@@ -48,7 +48,7 @@
     if len(data) < HEADER.size:
         raise MalformedPacketError(f"a datagram of {len(data)} bytes holds no header")
     seq, ack, flags, token, dport, _, _, dst, _, length = HEADER.unpack_from(data)
-    if length > MOST_PAYLOAD or length != len(data) - HEADER.size:
+    if length > MAX_PAYLOAD or length != len(data) - HEADER.size:
         raise MalformedPacketError(
             f"a packet of {len(data) - HEADER.size} bytes names {length}"
         )
@@ -83,11 +83,11 @@
     Its number must lie near what the caller acknowledged last; the checksum is 0,
     which marks it as the system's own.
     """
-    dport, sport, src, dst = FLOW.unpack(packet.data[FLOW_KEY])
+    dport, sport, src, dst = FLOW_FIELDS.unpack(packet.data[FLOW_KEY])
     return HEADER.pack(packet.ack, 0, WIRE_RST, 0, sport, dport, dst, src, 0, 0)
 
 
-def show_flow(flow: bytes) -> str:
+def format_flow(flow: bytes) -> str:
     """Return the key of a flow as ``caller:port>service:port``."""
     dport, sport = PORTS.unpack_from(flow)
     caller, service = inet_ntoa(flow[4:8]), inet_ntoa(flow[8:12])
--- a/citronspring/platform/store.py
+++ b/citronspring/platform/store.py
@@ -7,15 +7,15 @@
 from citronspring.errors import StoredValueError
 from citronspring.http_request import HttpRequest
 from citronspring.json_text import loads
-from citronspring.lean import TYPE_CHECKING
-from citronspring.platform.records import (
+from citronspring.light_stdlib import TYPE_CHECKING
+from citronspring.platform.entries import (
+    DECODE_ERRORS,
     DRAIN_PREFIX,
     READER_PREFIX,
     TARGET_PREFIX,
-    UNUSABLE,
     decode_entry,
-    parse,
-    start_of,
+    decode_start,
+    parse_object,
 )
 from citronspring.tokens.entries import (
     ReaderRemoved,
@@ -43,7 +43,7 @@
     from citronspring.tokens.entries import Change, Entry
 
 #: Keys that a host follows: all of them, as one watch costs less than two.
-FOLLOWED_PREFIX = ""
+WATCHED_PREFIX = ""
 
 #: Counts how often the store has come back from an older copy; in all answers.
 EPOCH_HEADER = b"store-era"
@@ -60,19 +60,19 @@
     """Return the request of a read."""
     match call:
         case ListEntries():
-            path = f"/api/kv-range?prefix={FOLLOWED_PREFIX}"
+            path = f"/api/kv-range?prefix={WATCHED_PREFIX}"
             if call.after_key:
-                path = f"{path}&after={quoted(call.after_key)}"
+                path = f"{path}&after={quote_key(call.after_key)}"
         case WatchEntries():
             path = (
-                f"/api/kv-watch?prefix={FOLLOWED_PREFIX}"
+                f"/api/kv-watch?prefix={WATCHED_PREFIX}"
                 f"&after={count_of(call.after_revision)}"
                 f"&wait_ms={round(call.wait * 1000)}"
             )
     return HttpRequest("GET", path)
 
 
-def quoted(key: str) -> str:
+def quote_key(key: str) -> str:
     """Return a key as it stands in a query."""
     # Imported for the second page of a list; at start it would hold up the first.
     from urllib.parse import quote
@@ -90,7 +90,7 @@
     if status not in (OK, HISTORY_GONE):
         return Refused(status)
     try:
-        epoch = epoch_in(headers)
+        epoch = decode_epoch(headers)
         if status == HISTORY_GONE:
             return HistoryLost(epoch)
         found = loads(body)
@@ -99,11 +99,11 @@
                 return decode_page(found, epoch)
             case WatchEntries():
                 return decode_changes(found, epoch)
-    except UNUSABLE as error:
+    except DECODE_ERRORS as error:
         return Unanswered(f"an answer that cannot be read: {error!r}")
 
 
-def epoch_in(headers: Mapping[bytes, bytes]) -> int:
+def decode_epoch(headers: Mapping[bytes, bytes]) -> int:
     """Return how often the store had come back from an older copy.
 
     Raises
@@ -165,7 +165,7 @@
         return decode_entry(key, value, revision)
     except (StoredValueError, ValueError) as error:
         name = key.removeprefix(TARGET_PREFIX)
-        return Unreadable(name, str(error), revision, start_in(value))
+        return Unreadable(name, str(error), revision, decode_start_leniently(value))
 
 
 def decode_drain(key: str, revision: int, *, ended: bool) -> ZoneDrain | None:
@@ -174,9 +174,9 @@
     return ZoneDrain(zone, revision, ended) if zone else None
 
 
-def start_in(value: bytes) -> int | None:
+def decode_start_leniently(value: bytes) -> int | None:
     """Return which start of a target an unreadable value names, None for none."""
     try:
-        return start_of(parse(value))
+        return decode_start(parse_object(value))
     except StoredValueError:
         return None
--- a/citronspring/records.py
+++ b/citronspring/records.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 
 __all__ = ["field", "record"]
 
@@ -18,14 +18,14 @@
     from dataclasses import field
     from typing import Any
 
-    DEFINED: list[tuple[tuple[str, ...], dict[str, Any]]]
-    COMPILED: dict[str, Any]
+    RECORD_FIELDS: list[tuple[tuple[str, ...], dict[str, Any]]]
+    COMPILED_INITS: dict[str, Any]
 else:
     #: Fields of each class and their defaults, for what compiles them ahead.
-    DEFINED = []
+    RECORD_FIELDS = []
 
     #: Compiled sources, see `init_source`; filled by `citronspring.bundles`.
-    COMPILED = {}
+    COMPILED_INITS = {}
 
     class Factory:
         """Makes the default of a field anew for each instance."""
@@ -57,12 +57,12 @@
         defaults = {name: namespace.pop(name) for name in names if name in namespace}
         namespace["__slots__"] = names
         namespace["__match_args__"] = names
-        namespace["__repr__"] = show
+        namespace["__repr__"] = record_repr
         if eq:
-            namespace["__eq__"] = equal
+            namespace["__eq__"] = records_equal
             namespace["__hash__"] = None
         made = type(cls)(cls.__name__, cls.__bases__, namespace)
-        DEFINED.append((names, defaults))
+        RECORD_FIELDS.append((names, defaults))
 
         def init_first(self, *values, **named):
             made.__init__ = make_init(names, defaults)
@@ -76,7 +76,7 @@
     """Return the ``__init__`` that sets each field."""
     source = init_source(names, defaults)
     known: dict[str, Any] = {f"_{name}": value for name, value in defaults.items()}
-    exec(COMPILED.get(source, source), known)
+    exec(COMPILED_INITS.get(source, source), known)
     return known["__init__"]
 
 
@@ -94,13 +94,13 @@
     return "\n".join(lines)
 
 
-def show(self: Any) -> str:
+def record_repr(self: Any) -> str:
     """Return the fields as they would be given, for logs and failed tests."""
     fields = ", ".join(f"{name}={getattr(self, name)!r}" for name in self.__slots__)
     return f"{type(self).__name__}({fields})"
 
 
-def equal(self: Any, other: Any) -> bool:
+def records_equal(self: Any, other: Any) -> bool:
     """Whether both are of one class and all fields are equal."""
     return type(self) is type(other) and all(
         getattr(self, name) == getattr(other, name) for name in self.__slots__
--- a/citronspring/tokens/admission.py
+++ b/citronspring/tokens/admission.py
@@ -13,7 +13,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 
 if TYPE_CHECKING:
     from citronspring.tokens.entities import Packet, Route
--- a/citronspring/tokens/balancer.py
+++ b/citronspring/tokens/balancer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from citronspring.events import LEAVING
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.tokens.copies import encode_copy
 from citronspring.tokens.election import (
     next_election_call,
--- a/citronspring/tokens/codec.py
+++ b/citronspring/tokens/codec.py
@@ -4,7 +4,7 @@
 
 from citronspring.endpoints import Endpoint
 from citronspring.json_text import loads
-from citronspring.lean import INFINITY, TYPE_CHECKING
+from citronspring.light_stdlib import INFINITY, TYPE_CHECKING
 from citronspring.tokens.entities import Route, Share
 from citronspring.tokens.entries import (
     Configuration,
--- a/citronspring/tokens/election.py
+++ b/citronspring/tokens/election.py
@@ -9,7 +9,7 @@
 from binascii import crc32
 
 from citronspring.events import LEASE_LOST, LEASE_TAKEN
-from citronspring.lean import INFINITY, TYPE_CHECKING
+from citronspring.light_stdlib import INFINITY, TYPE_CHECKING
 from citronspring.tokens.messages import (
     ClaimZone,
     ConditionFailed,
--- a/citronspring/tokens/entities.py
+++ b/citronspring/tokens/entities.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import INFINITY, TYPE_CHECKING
+from citronspring.light_stdlib import INFINITY, TYPE_CHECKING
 from citronspring.records import record
 
 if TYPE_CHECKING:
--- a/citronspring/tokens/entries.py
+++ b/citronspring/tokens/entries.py
@@ -14,7 +14,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.records import record
 
 if TYPE_CHECKING:
--- a/citronspring/tokens/evidence.py
+++ b/citronspring/tokens/evidence.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import INFINITY, TYPE_CHECKING
+from citronspring.light_stdlib import INFINITY, TYPE_CHECKING
 from citronspring.tokens.own_path import (
     note_answered,
     note_repeated,
--- a/citronspring/tokens/flows.py
+++ b/citronspring/tokens/flows.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.tokens.placement import count_load
 from citronspring.tokens.rows import FlowRow
 from citronspring.tokens.tables import MAX_FLOWS
--- a/citronspring/tokens/following.py
+++ b/citronspring/tokens/following.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from citronspring.events import FOLLOWING, READER_LOST
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.tokens.entries import ConfigurationChange
 from citronspring.tokens.messages import (
     AnswerTooLarge,
--- a/citronspring/tokens/forwarding.py
+++ b/citronspring/tokens/forwarding.py
@@ -4,7 +4,7 @@
 
 from citronspring.events import FLOW_RESET
 from citronspring.flags import FIN, RST, SYN
-from citronspring.lean import INFINITY, TYPE_CHECKING
+from citronspring.light_stdlib import INFINITY, TYPE_CHECKING
 from citronspring.tokens.admission import note_answer_size, note_time_to_answer
 from citronspring.tokens.evidence import (
     certainly_gone,
--- a/citronspring/tokens/inquiry.py
+++ b/citronspring/tokens/inquiry.py
@@ -14,7 +14,7 @@
 from __future__ import annotations
 
 from citronspring.events import INQUIRY_ENDED, TARGET_LOST
-from citronspring.lean import INFINITY, TYPE_CHECKING
+from citronspring.light_stdlib import INFINITY, TYPE_CHECKING
 from citronspring.tokens.election import holds_zone
 from citronspring.tokens.entities import token_of
 from citronspring.tokens.messages import Log, Tell
--- a/citronspring/tokens/messages.py
+++ b/citronspring/tokens/messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING, Choice
+from citronspring.light_stdlib import TYPE_CHECKING, LightEnum
 from citronspring.records import record
 
 if TYPE_CHECKING:
@@ -13,7 +13,7 @@
     from citronspring.tokens.suspicions import HostMessage
 
 
-class DropReason(Choice):
+class DropReason(LightEnum):
     """Why a packet goes nowhere; each is counted."""
 
     NO_ROUTE = "no-route"
@@ -25,7 +25,7 @@
     ZONE_DRAINED = "zone-drained"
 
 
-class ResetReason(Choice):
+class ResetReason(LightEnum):
     """Why a caller gets a reset; each is counted."""
 
     NO_ROUTE = "no-route"
--- a/citronspring/tokens/news.py
+++ b/citronspring/tokens/news.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from citronspring.json_text import dumps
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.records import record
 from citronspring.tokens.codec import (
     FORMAT,
--- a/citronspring/tokens/openings.py
+++ b/citronspring/tokens/openings.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from citronspring.events import OPENING_PLACED, OPENING_REFUSED
-from citronspring.lean import TYPE_CHECKING, heappop, heappush
+from citronspring.light_stdlib import TYPE_CHECKING, heappop, heappush
 from citronspring.tokens.admission import admits, known_delay
 from citronspring.tokens.evidence import note_silence
 from citronspring.tokens.flows import close_flow, start_flow
--- a/citronspring/tokens/own_path.py
+++ b/citronspring/tokens/own_path.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.tokens.rows import Answered, Repeated
 
 if TYPE_CHECKING:
--- a/citronspring/tokens/placement.py
+++ b/citronspring/tokens/placement.py
@@ -4,7 +4,7 @@
 
 from binascii import crc32
 
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.tokens.evidence import avoided, out_of_reach
 
 if TYPE_CHECKING:
--- a/citronspring/tokens/reader.py
+++ b/citronspring/tokens/reader.py
@@ -10,7 +10,7 @@
     STORE_REGAINED,
     STORE_RESTORED,
 )
-from citronspring.lean import INFINITY, TYPE_CHECKING
+from citronspring.light_stdlib import INFINITY, TYPE_CHECKING
 from citronspring.tokens.election import forget_lost_lease, holds_zone
 from citronspring.tokens.entries import (
     Configuration,
--- a/citronspring/tokens/report.py
+++ b/citronspring/tokens/report.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from citronspring.lean import INFINITY
+from citronspring.light_stdlib import INFINITY
 from citronspring.tokens.admission import known_delay
 from citronspring.tokens.entries import count_of, epoch_of
 
--- a/citronspring/tokens/restarts.py
+++ b/citronspring/tokens/restarts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from citronspring.events import TARGET_RESTARTED
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.tokens.flows import close_flow
 from citronspring.tokens.messages import Log
 from citronspring.tokens.revisions import add_target, release_token, unlist_service
--- a/citronspring/tokens/revisions.py
+++ b/citronspring/tokens/revisions.py
@@ -10,7 +10,7 @@
     TOKEN_TAKEN,
     ZONE_DRAIN_CHANGED,
 )
-from citronspring.lean import INFINITY, TYPE_CHECKING
+from citronspring.light_stdlib import INFINITY, TYPE_CHECKING
 from citronspring.tokens.entities import token_of
 from citronspring.tokens.entries import (
     Configuration,
--- a/citronspring/tokens/rewrites.py
+++ b/citronspring/tokens/rewrites.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import INFINITY, TYPE_CHECKING, Counter
+from citronspring.light_stdlib import INFINITY, TYPE_CHECKING, Counter
 from citronspring.tokens.entries import (
     Removed,
     ZoneDrain,
--- a/citronspring/tokens/routes.py
+++ b/citronspring/tokens/routes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from citronspring.events import CONFIGURATION_APPLIED
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.tokens.entries import ConfigurationChange
 from citronspring.tokens.messages import Log
 
--- a/citronspring/tokens/rows.py
+++ b/citronspring/tokens/rows.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import INFINITY, TYPE_CHECKING, deque
+from citronspring.light_stdlib import INFINITY, TYPE_CHECKING, deque
 from citronspring.records import field, record
 
 if TYPE_CHECKING:
--- a/citronspring/tokens/suspicions.py
+++ b/citronspring/tokens/suspicions.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from citronspring.json_text import dumps, loads
-from citronspring.lean import TYPE_CHECKING
+from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.records import record
 
 if TYPE_CHECKING:
--- a/citronspring/tokens/tables.py
+++ b/citronspring/tokens/tables.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from citronspring.histogram import Histogram
-from citronspring.lean import INFINITY, TYPE_CHECKING, Counter, deque
+from citronspring.light_stdlib import INFINITY, TYPE_CHECKING, Counter, deque
 from citronspring.records import field, record
 from citronspring.tokens.rows import AnswerRow, OwnPath, ServiceRow, ZoneRow
 
--- a/citronspring/tokens/times.py
+++ b/citronspring/tokens/times.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citronspring.lean import INFINITY
+from citronspring.light_stdlib import INFINITY
 from citronspring.records import record
 
 #: Share of the configuration bound that a watch waits for news at most. While it
--- a/citronspring/trail.py
+++ b/citronspring/trail.py
@@ -26,7 +26,7 @@
 
 #: Seconds before the first line of a flow from which a host's state is told: a store
 #: outage or a removed target that long ago may still decide.
-CONTEXT = 15.0
+CONTEXT_SECONDS = 15.0
 
 #: Events that tell what a host believed or could not know.
 HOST_EVENTS = frozenset(
@@ -94,7 +94,7 @@
             lines.append(line)
     lines.sort(key=lambda line: float(line["time"]))
     own = [line for line in lines if is_about(name, line)]
-    around = context_of(own, lines) if own else []
+    around = context_lines(own, lines) if own else []
     kept = sorted((*own, *around), key=lambda line: float(line["time"]))
     return Trail(tuple(kept), unreadable)
 
@@ -107,11 +107,11 @@
     return name in (line.get("target"), line.get("host"), line.get("entry"))
 
 
-def context_of(
+def context_lines(
     own: list[dict[str, Any]], lines: list[dict[str, Any]]
 ) -> list[dict[str, Any]]:
     """Return what the hosts of some lines believed shortly before and meanwhile."""
-    begin, end = float(own[0]["time"]) - CONTEXT, float(own[-1]["time"])
+    begin, end = float(own[0]["time"]) - CONTEXT_SECONDS, float(own[-1]["time"])
     hosts = {line.get("host") for line in own}
     targets = {line.get("target") for line in own} - {None}
     return [
@@ -120,11 +120,11 @@
         if begin <= float(line["time"]) <= end
         and line.get("host") in hosts
         and line not in own
-        and (line["number"] in HOST_EVENTS or is_of_targets(line, targets))
+        and (line["number"] in HOST_EVENTS or concerns_targets(line, targets))
     ]
 
 
-def is_of_targets(line: dict[str, Any], targets: set[Any]) -> bool:
+def concerns_targets(line: dict[str, Any], targets: set[Any]) -> bool:
     """Whether a line tells what became of one of some targets."""
     return line["number"] in TARGET_EVENTS and line.get("target") in targets
 
--- a/deploy/bundle.py
+++ b/deploy/bundle.py
@@ -31,10 +31,10 @@
 def main() -> None:
     """Write the bundle."""
     modules = compile_modules()
-    inits = [records.init_source(*fields) for fields in records.DEFINED]
+    init_sources = [records.init_source(*fields) for fields in records.RECORD_FIELDS]
     path = Path(ROOT, bundles.BUNDLE_PATH)
     path.parent.mkdir(exist_ok=True)
-    path.write_bytes(bundles.write_bundle(ROOT, modules, inits))
+    path.write_bytes(bundles.encode_bundle(ROOT, modules, init_sources))
 
 
 if __name__ == "__main__":
--- a/tests/test_daemons/test_control.py
+++ b/tests/test_daemons/test_control.py
@@ -13,7 +13,7 @@
 from citronspring.control.messages import Gossip, HostUpdate
 from citronspring.daemons.control import LOOPBACK_KEY, read_keys, wall_clock
 from citronspring.daemons.host import HostDaemon
-from citronspring.daemons.reader import CONFIRM_AGAIN, PlatformReader
+from citronspring.daemons.reader import CONFIRM_INTERVAL, PlatformReader
 from citronspring.entities import HostState, Snapshot
 from citronspring.errors import SettingsError
 from citronspring.messages import RecordsRead, SnapshotRead
@@ -181,7 +181,7 @@
     assert reader.confirmation_is_due(7)
     await reader.confirm_once()
     assert not reader.confirmation_is_due(7)
-    now += CONFIRM_AGAIN
+    now += CONFIRM_INTERVAL
     assert reader.confirmation_is_due(7)
     assert source.confirmed == [(ZONES[0], 7)]
 
--- a/tests/test_daemons/test_followers.py
+++ b/tests/test_daemons/test_follower_server.py
@@ -4,7 +4,7 @@
 
 from selectors import DefaultSelector
 
-from citronspring.daemons.followers import Followers
+from citronspring.daemons.follower_server import FollowerServer
 from citronspring.daemons.store_calls import COPY_PATH
 from citronspring.endpoints import Endpoint
 from tests.test_tokens.driver import Driver, make_target
@@ -17,7 +17,7 @@
     callers' packets would be lost. The others are told so, and ask elsewhere.
     """
     driver = Driver(make_target(1))
-    followers = Followers(
+    followers = FollowerServer(
         driver.core,
         DefaultSelector(),
         Endpoint("127.0.0.1", 0),
--- a/tests/test_daemons/test_http_server.py
+++ b/tests/test_daemons/test_http_server.py
@@ -98,15 +98,15 @@
     assert held[0].closed
 
 
-def test_oldest_connection_gives_way():
+def test_oldest_connection_is_closed_at_the_limit():
     served = Served(echo)
-    served.server.most_connections = 2
+    served.server.max_connections = 2
     clients = [served.connect() for _ in range(3)]
     assert clients[0].recv(10) == b""
     assert len(served.server.connections) == 2
 
 
-def test_answer_that_nobody_takes_is_cut_and_logged():
+def test_stalled_answer_is_closed_and_logged():
     """A follower freezes in the middle of a large answer.
 
     What has not gone out is memory of the host's; after a second without a byte the
--- a/tests/test_daemons/test_line_log.py
+++ b/tests/test_daemons/test_line_log.py
@@ -7,7 +7,11 @@
 
 import pytest
 
-from citronspring.daemons.line_log import LINES_A_SECOND, MOST_WAITING, LineLog
+from citronspring.daemons.line_log import (
+    MAX_BUFFERED_BYTES,
+    MAX_LINES_PER_SECOND,
+    LineLog,
+)
 from citronspring.events import LINES_LEFT_OUT, OPENING_PLACED, STARTED
 
 
@@ -36,17 +40,17 @@
     """A flood of openings must not crowd out other lines, nor cost more."""
     reader, writer = pipe
     log = LineLog(writer, "host-1")
-    for _ in range(10 * LINES_A_SECOND):
+    for _ in range(10 * MAX_LINES_PER_SECOND):
         log.write(OPENING_PLACED.number, {}, 1.0)
     log.write(STARTED.number, {}, 1.5)
     log.write(STARTED.number, {}, 2.5)
     log.flush()
     found = lines(reader)
     events = [line["event"] for line in found]
-    assert events.count(OPENING_PLACED.name) == LINES_A_SECOND
+    assert events.count(OPENING_PLACED.name) == MAX_LINES_PER_SECOND
     assert events.count(STARTED.name) == 2
     (told,) = [line for line in found if line["number"] == LINES_LEFT_OUT.number]
-    assert told["lines"] == {str(OPENING_PLACED.number): 9 * LINES_A_SECOND}
+    assert told["lines"] == {str(OPENING_PLACED.number): 9 * MAX_LINES_PER_SECOND}
 
 
 def test_full_pipe_blocks_nothing_and_bounds_memory(pipe):
@@ -54,11 +58,11 @@
     reader, writer = pipe
     log = LineLog(writer, "host-1")
     for second in range(200):
-        for _ in range(LINES_A_SECOND):
+        for _ in range(MAX_LINES_PER_SECOND):
             log.write(OPENING_PLACED.number, {"flow": "0" * 24}, float(second))
         log.flush()
-    assert len(log.waiting) <= MOST_WAITING
-    assert log.left_out or b'"lines-left-out"' in log.waiting
+    assert len(log.buffer) <= MAX_BUFFERED_BYTES
+    assert log.omitted or b'"lines-left-out"' in log.buffer
 
 
 def test_closed_pipe_ends_nothing():
@@ -67,5 +71,5 @@
     os.close(reader)
     log.write(STARTED.number, {}, 1.0)
     log.flush()
-    assert not log.waiting
+    assert not log.buffer
     os.close(writer)
--- a/tests/test_daemons/test_first_call.py
+++ b/tests/test_daemons/test_prefetch.py
@@ -5,13 +5,13 @@
 import socket
 from selectors import DefaultSelector
 
-from citronspring.daemons.first_call import make_first_call
 from citronspring.daemons.http_client import HttpClient
+from citronspring.daemons.prefetch import start_prefetch
 from citronspring.daemons.store_calls import StoreCalls
 from citronspring.endpoints import Endpoint
 from citronspring.host_settings import HostSettings
 from citronspring.http_request import HttpAnswer, HttpRequest
-from citronspring.platform.__main__ import TRANSLATION
+from citronspring.platform.__main__ import PLATFORM_ADAPTER
 from citronspring.tokens.balancer import TokenBalancer
 from citronspring.tokens.messages import ListEntries
 from tests.test_tokens.zone import TIMES
@@ -24,7 +24,7 @@
 
 def begin(listener):
     endpoint = Endpoint("127.0.0.1", listener.getsockname()[1])
-    return endpoint, make_first_call(endpoint, ListEntries(), REQUEST, 100.0)
+    return endpoint, start_prefetch(endpoint, ListEntries(), REQUEST, 100.0)
 
 
 def settings_with(store):
@@ -55,12 +55,12 @@
     assert server.recv(CHUNK).startswith(b"GET /more HTTP/1.1\r\n")
 
 
-def test_store_that_is_away_holds_up_no_start():
+def test_unreachable_store_does_not_delay_the_start():
     """Nothing listens at the store's address; the usual call fails and says so."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port = listener.getsockname()[1]
     endpoint = Endpoint("127.0.0.1", port)
-    assert make_first_call(endpoint, ListEntries(), REQUEST, 100.0) is None
+    assert start_prefetch(endpoint, ListEntries(), REQUEST, 100.0) is None
 
 
 def test_call_that_stays_without_an_answer_is_given_up():
@@ -75,7 +75,7 @@
     server.close()
 
 
-def test_imports_take_nothing_of_the_time_that_an_answer_has():
+def test_import_time_does_not_count_against_the_answer_deadline():
     """A host on a busy machine imports for longer than a call may take.
 
     Counted from its sending, the call was given up before anything could read the
@@ -89,7 +89,7 @@
         TokenBalancer.from_config("host-1", "north", TIMES),
         DefaultSelector(),
         settings_with(endpoint),
-        TRANSLATION,
+        PLATFORM_ADAPTER,
         lambda actions, now: None,
         lambda: imported_at,
         first,
--- a/tests/test_daemons/test_prober.py
+++ b/tests/test_daemons/test_prober.py
@@ -54,7 +54,7 @@
     assert not results["liar"].healthy
 
 
-async def test_endpoint_that_lags_tells_an_old_state():
+async def test_slow_endpoint_reports_an_old_state():
     states = iter([True, True, False, False, False])
     health = HealthEndpoint(is_healthy=lambda: next(states), lag=2)
     results = await probe_all({"late": health}, rounds=5)
@@ -102,7 +102,7 @@
 
 
 async def test_probes_are_bounded_and_one_a_target(monkeypatch):
-    monkeypatch.setattr(prober_module, "MOST_WAITING", 3)
+    monkeypatch.setattr(prober_module, "MAX_QUEUED", 3)
     prober = Prober({}.get, [].append)
     for name in ("a", "a", "b", "c", "d", "e"):
         prober.request(ProbeTarget(name))
@@ -118,7 +118,7 @@
     prober.close()
 
 
-async def test_host_asks_and_tells_its_core(snapshot):
+async def test_probe_results_reach_the_core(snapshot):
     """What a server's endpoint says reaches the host's decisions."""
     async with anyio.create_task_group() as group:
         where = await group.start(serve_health, HealthEndpoint(lie=True), ANY_PORT)
--- a/tests/test_daemons/test_refusal.py
+++ b/tests/test_daemons/test_refusal.py
@@ -7,14 +7,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from citronspring.daemons.carrier import describe_refusal
+from citronspring.daemons.packet_io import describe_refusal
 from citronspring.messages import Packet, RefusalReason, Refuse
 
 PACKET = Packet(b"", True, 0, 0, 0, 0, b"")
 
 
 @given(st.floats(0.0, 1e6), st.floats(-10.0, 100.0))
-def test_told_wait_is_never_too_short(now, wait):
+def test_reported_retry_delay_is_never_too_short(now, wait):
     refusal = Refuse(PACKET, RefusalReason.ACCOUNT_RATE, now + wait)
     text = describe_refusal(refusal, now)
     [told] = re.fullmatch(r"account-rate; retry after (.+) s", text).groups()
--- a/tests/test_http_messages.py
+++ b/tests/test_http_messages.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from citronspring.http_messages import LARGEST_HEAD, MessageError, MessageReader
+from citronspring.http_messages import MAX_HEAD_BYTES, MessageError, MessageReader
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
 CHUNKED = (
@@ -37,7 +37,7 @@
     b"HTTP/1.1 200 OK\r\n\r\n",
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxy\r\n",
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n",
-    b"x" * LARGEST_HEAD,
+    b"x" * MAX_HEAD_BYTES,
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1" * 300,
 ]
 
@@ -71,9 +71,9 @@
     return [data[start:end] for start, end in zip(bounds, bounds[1:], strict=False)]
 
 
-def read(data, cuts, answers):
+def read(data, cuts, expect_responses):
     """Return the messages in bytes that come in pieces."""
-    reader = MessageReader(answers)
+    reader = MessageReader(expect_responses)
     found = []
     for piece in pieces_of(data, cuts):
         reader.feed(piece)
@@ -91,7 +91,7 @@
         httptools.HttpResponseParser, lambda one: one.parser.get_status_code()
     )
     expected.parser.feed_data(data)
-    found = [(m.status, m.body, m.keeps_open) for m in read(data, cuts, True)]
+    found = [(m.status, m.body, m.keep_alive) for m in read(data, cuts, True)]
     assert found == expected.messages
 
 
@@ -101,12 +101,12 @@
     expected = Expected(httptools.HttpRequestParser, lambda one: one.url.decode())
     if data:
         expected.parser.feed_data(data)
-    found = [(m.target, m.body, m.keeps_open) for m in read(data, cuts, False)]
+    found = [(m.target, m.body, m.keep_alive) for m in read(data, cuts, False)]
     assert found == expected.messages
 
 
 def test_last_request_of_a_connection_says_so():
-    assert not read(REQUESTS[1], [], False)[0].keeps_open
+    assert not read(REQUESTS[1], [], False)[0].keep_alive
 
 
 def test_answer_that_comes_before_the_one_that_counts_is_passed_over():
@@ -120,9 +120,9 @@
 
 
 @given(st.binary(max_size=300), CUTS, st.booleans())
-def test_any_bytes_are_messages_or_an_error(data, cuts, answers):
+def test_any_bytes_are_messages_or_an_error(data, cuts, expect_responses):
     try:
-        read(data, cuts, answers)
+        read(data, cuts, expect_responses)
     except MessageError:
         return
 
@@ -136,7 +136,7 @@
     Whoever reaches the readiness address announces a body of any size and sends on;
     the bytes would be kept until the last one has come.
     """
-    reader = MessageReader(answers=False)
+    reader = MessageReader(expect_responses=False)
     reader.feed(b"POST / HTTP/1.1\r\n" + head + b"\r\n\r\n90000\r\n")
     with pytest.raises(MessageError):
         for _ in range(100):
@@ -145,7 +145,7 @@
 
 
 def test_size_of_a_body_is_known_before_it_is_there():
-    reader = MessageReader(answers=True)
+    reader = MessageReader(expect_responses=True)
     reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\nab")
     assert reader.next_message() is None
-    assert reader.size == 900
+    assert reader.body_size == 900
--- a/tests/test_json_text.py
+++ b/tests/test_json_text.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from citronspring.json_text import dumps, loads, writer_of
+from citronspring.json_text import compact_encoder, dumps, loads
 
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(),
@@ -59,7 +59,7 @@
 
 
 def test_writer_asks_for_another_value():
-    assert writer_of(bytes.hex)({"a": b"\x01", "b": [1]}) == '{"a":"01","b":[1]}'
+    assert compact_encoder(bytes.hex)({"a": b"\x01", "b": [1]}) == '{"a":"01","b":[1]}'
 
 
 def test_values_without_a_form_are_refused():
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -10,7 +10,7 @@
 from citronspring.messages import SnapshotRead
 from citronspring.metrics import (
     DECISION_SAMPLE,
-    LONGEST_MICROSECONDS,
+    MAX_MICROSECONDS,
     MeasuredBalancer,
     TimeRecorder,
     metrics_text,
@@ -43,7 +43,7 @@
         recorder.record(seconds)
     assert recorder.histogram.counts_len == size
     assert recorder.count == 4
-    assert recorder.quantiles()[0.999] >= LONGEST_MICROSECONDS / 1e6 * 0.99
+    assert recorder.quantiles()[0.999] >= MAX_MICROSECONDS / 1e6 * 0.99
 
 
 def test_opening_time_runs_from_the_syn_to_the_confirmed_answer(snapshot):
@@ -64,7 +64,7 @@
 def test_one_decision_in_so_many_is_timed(snapshot):
     core = make_measured(snapshot)
     ticks = itertools.count()
-    core.stopwatch = lambda: next(ticks) * 0.001
+    core.timer = lambda: next(ticks) * 0.001
     for port in range(DECISION_SAMPLE * 3):
         core.receive(syn(flow_to(port=40_000 + port)), 1.0)
     assert core.decision_time.count == 3
--- a/tests/test_platform/process.py
+++ b/tests/test_platform/process.py
@@ -18,7 +18,7 @@
 from tests.test_platform.test_store import CONFIGURATION, TARGET
 
 #: Longest wait for something that happens within a second.
-PATIENCE = 20.0
+TIMEOUT = 20.0
 
 SYN, ACK = 16, 2
 PACKETS, READINESS, COPIES = 7700, 7701, 7702
@@ -52,7 +52,7 @@
 
 def eventually(check):
     """Wait until a check returns something true, and return that."""
-    deadline = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + TIMEOUT
     while time.monotonic() < deadline:
         found = check()
         if found:
@@ -71,7 +71,7 @@
         self.name = "host-1"
         self.target = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.target.bind(("127.0.0.1", 0))
-        self.target.settimeout(PATIENCE)
+        self.target.settimeout(TIMEOUT)
         self.caller = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.caller.bind(("127.0.0.2", 0))
         self.settings = folder / "settings.json"
@@ -117,7 +117,7 @@
         """Return status and text of the readiness address; None if it is not up."""
         url = f"http://{self.ip}:{READINESS}{path}"
         try:
-            with urllib.request.urlopen(url, timeout=PATIENCE) as answer:
+            with urllib.request.urlopen(url, timeout=TIMEOUT) as answer:
                 return answer.status, answer.read().decode()
         except urllib.error.HTTPError as error:
             return error.code, error.read().decode()
--- a/tests/test_platform/test_leases.py
+++ b/tests/test_platform/test_leases.py
@@ -10,8 +10,8 @@
 from citronspring.endpoints import Endpoint
 from citronspring.errors import StoredValueError
 from citronspring.http_request import HttpRequest
+from citronspring.platform.entries import decode_entry
 from citronspring.platform.leases import decode_election_answer, encode_election_call
-from citronspring.platform.records import decode_entry
 from citronspring.platform.store import decode_removal
 from citronspring.tokens.entries import ReaderRemoved, ZoneReader
 from citronspring.tokens.messages import (
--- a/tests/test_platform/test_packets.py
+++ b/tests/test_platform/test_packets.py
@@ -15,7 +15,7 @@
     decode_packet,
     encode_for_target,
     encode_reset,
-    show_flow,
+    format_flow,
 )
 from citronspring.tokens.entities import route_key
 
@@ -42,7 +42,7 @@
     assert packet.length == 0
     assert packet.route == route_key(0xC6120001, 443)
     assert caller_ip(packet) == "100.64.0.7"
-    assert show_flow(packet.flow) == "100.64.0.7:40001>198.18.0.1:443"
+    assert format_flow(packet.flow) == "100.64.0.7:40001>198.18.0.1:443"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform/test_process.py
+++ b/tests/test_platform/test_process.py
@@ -17,9 +17,9 @@
 from tests.test_platform.process import (
     ACK,
     COPIES,
-    PATIENCE,
     READS,
     SYN,
+    TIMEOUT,
     Host,
     eventually,
     packet,
@@ -99,7 +99,7 @@
     eventually(lambda: serving.status() == 503)
     serving.send(packet(SYN))
     assert serving.target.recv(2048)
-    assert serving.process.wait(PATIENCE) == 0
+    assert serving.process.wait(TIMEOUT) == 0
     events = [line["event"] for line in serving.lines()]
     order = [events.index(name) for name in ("started", "leaving", "stopped")]
     assert order == sorted(order)
@@ -240,7 +240,7 @@
     reader, follower = reader_and_follower(serving, second)
     reader.process.send_signal(signal.SIGTERM)
     eventually(lambda: follower.logged("lease-taken"))
-    assert reader.process.wait(PATIENCE) == 0
+    assert reader.process.wait(TIMEOUT) == 0
     assert "/api/kv-lease-end" in serving.store.calls
 
 
--- a/tests/test_platform/test_settings.py
+++ b/tests/test_platform/test_settings.py
@@ -49,7 +49,7 @@
     assert settings.stop_grace == 6.0
 
 
-def test_limits_of_the_host_are_read_or_taken_for_large():
+def test_missing_host_limits_take_large_defaults():
     """A host without limits in its settings starts all the same."""
     settings = decode_settings(json.dumps(GOOD))
     assert (settings.processor_share, settings.link_rate) == (1.0, 125_000_000.0)
--- a/tests/test_platform/test_start.py
+++ b/tests/test_platform/test_start.py
@@ -39,14 +39,14 @@
 )
 
 #: Modules imported at start, at most: 43 of the interpreter's own and 47 of ours.
-MOST_MODULES = 90
+MAX_MODULES = 90
 
 #: What a start imports.
-START = "import citronspring.platform.__main__, citronspring.daemons.token_host"
+IMPORT_HOST = "import citronspring.platform.__main__, citronspring.daemons.token_host"
 
 #: Times the processor time of a bare interpreter that imports asyncio: that takes
 #: some 77 ms, and a start may take 30 ms.
-MOST_TIMES_ASYNCIO = 0.5
+MAX_SHARE_OF_ASYNCIO = 0.5
 
 
 def run(code, cache):
@@ -60,7 +60,7 @@
     return done.stdout
 
 
-def processor_of(code, cache):
+def cpu_seconds(code, cache):
     """Return the processor time of a run, in seconds."""
     before = resource.getrusage(resource.RUSAGE_CHILDREN)
     run(code, cache)
@@ -68,7 +68,7 @@
     return after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime
 
 
-def least_processor_of(codes, cache):
+def least_cpu_seconds(codes, cache):
     """Return the least processor time of some runs of each code, in seconds.
 
     Run in turn, so that a machine that gets busy is as slow for all of them. Compiled
@@ -76,7 +76,7 @@
     """
     for code in codes:
         run(code, cache)
-    rounds = [[processor_of(code, cache) for code in codes] for _ in range(8)]
+    rounds = [[cpu_seconds(code, cache) for code in codes] for _ in range(8)]
     return [min(times) for times in zip(*rounds, strict=True)]
 
 
@@ -86,10 +86,10 @@
     On a quarter of a core, 25 ms of imports more are 100 ms in which every caller
     waits. The modules named here would double the start.
     """
-    output = run(f"{START}; print(*sys.modules)", tmp_path)
+    output = run(f"{IMPORT_HOST}; print(*sys.modules)", tmp_path)
     modules = set(output.split())
     assert modules.isdisjoint(HEAVY), modules & set(HEAVY)
-    assert len(modules) <= MOST_MODULES
+    assert len(modules) <= MAX_MODULES
 
 
 def test_costs_half_of_importing_an_event_loop(tmp_path):
@@ -100,8 +100,8 @@
     else is there. Compared in the same run with an interpreter that imports asyncio
     alone: half of that is what a start may take.
     """
-    host, loop = least_processor_of((START, "import asyncio"), tmp_path)
-    assert host <= MOST_TIMES_ASYNCIO * loop
+    host, loop = least_cpu_seconds((IMPORT_HOST, "import asyncio"), tmp_path)
+    assert host <= MAX_SHARE_OF_ASYNCIO * loop
 
 
 def test_launcher_serves_as_the_module_does(tmp_path):
--- a/tests/test_platform/test_store.py
+++ b/tests/test_platform/test_store.py
@@ -107,7 +107,7 @@
     assert route.idempotent
 
 
-def test_decodes_what_a_route_asks_of_answers():
+def test_decodes_latency_objective_and_priority():
     route = {**ROUTE, "target_latency_ms": 120, "priority": 1}
     entry = only_entry(page(item("op/config", {**CONFIGURATION, "routes": [route]})))
     assert (entry.routes[0].objective, entry.routes[0].priority) == (0.12, 1)
@@ -135,7 +135,7 @@
     assert (entry.warmup, entry.revision) == (1.5, 12)
 
 
-def test_decodes_which_start_of_a_target_speaks():
+def test_decodes_the_start_time_of_a_target():
     entry = only_entry(page(item("servers/i-1", {**TARGET, "born": 1764720000000})))
     assert entry.started == 1764720000000
     assert only_entry(page(item("servers/i-1", TARGET))).started is None
@@ -158,7 +158,7 @@
         ),
     )
 )
-def test_no_entry_of_another_program_costs_the_others(value):
+def test_foreign_json_under_a_target_key_does_not_hide_other_entries(value):
     """Some program writes any JSON at all under a target's key."""
     answer = page(item("servers/i-1", value), item("servers/i-2", TARGET))
     assert answer.entries[-1].target_id == "i-2"
@@ -167,7 +167,7 @@
 
 
 @given(st.binary())
-def test_no_bytes_of_another_program_cost_the_others(value):
+def test_foreign_bytes_under_a_target_key_do_not_hide_other_entries(value):
     raw = {"key": "servers/i-1", "value": b64encode(value).decode(), "revision": 3}
     answer = page(raw, item("servers/i-2", TARGET))
     assert isinstance(answer.entries[0], Unreadable)
@@ -295,7 +295,7 @@
     ),
     st.sampled_from([LIST, WATCH]),
 )
-def test_no_body_ends_the_process(body, call):
+def test_no_body_raises(body, call):
     answer = decode_answer(call, 200, json.dumps(body).encode())
     assert isinstance(answer, Page | Changes | Unanswered)
 
--- a/tests/test_platform/test_older_copy.py
+++ b/tests/test_platform/test_store_restore.py
@@ -7,7 +7,7 @@
 import pytest
 
 from citronspring.endpoints import Endpoint
-from citronspring.platform.__main__ import TRANSLATION
+from citronspring.platform.__main__ import PLATFORM_ADAPTER
 from citronspring.tokens.balancer import TokenBalancer
 from citronspring.tokens.evidence import GONE_CERTAIN, certainly_gone
 from citronspring.tokens.messages import FollowReader
@@ -22,7 +22,7 @@
 STARTED = ("i-2ea29917b6", "i-2ea29917b7", "i-2ea29917b8")
 
 #: Calls within which a host has heard of a change: a watch that fails, a list, a watch.
-FEW = 4
+CALLS_TO_CONVERGE = 4
 
 
 class Store(StoreStandIn):
@@ -59,14 +59,14 @@
             self.take(call, self.ask(call))
 
     def ask(self, call):
-        request = TRANSLATION.encode_call(call)
+        request = PLATFORM_ADAPTER.encode_call(call)
         status, found = self.store.answer(request.target)
         headers = {
             name.lower().encode(): value.encode()
             for name, value in self.store.headers.items()
         }
         body = json.dumps(found).encode()
-        return TRANSLATION.decode_answer(call, status, body, headers)
+        return PLATFORM_ADAPTER.decode_answer(call, status, body, headers)
 
     def take(self, call, answer):
         self.core.take_answer(call, answer, self.now, self.now)
@@ -80,7 +80,7 @@
         self.now = reader.now
         self.take(call, decode_news(*reader.core.answer_poll(poll, reader.now)))
         if self.tables.follow.failures > failures:
-            self.run(FEW)
+            self.run(CALLS_TO_CONVERGE)
 
     def knows_leaving(self):
         return self.tables.targets[LEAVING].target.leaving
@@ -111,7 +111,7 @@
     return host
 
 
-def go_back(store, *versions):
+def backup_before(store, *versions):
     """Have configurations written, and the store come back from before them."""
     copy = store.copy()
     for version in versions:
@@ -119,55 +119,55 @@
     return copy
 
 
-def test_followers_hear_of_a_leaving_target_after_the_store_went_back(store):
+def test_followers_learn_of_a_leaving_target_after_a_store_restore(store):
     """A target says that it leaves, and two thirds of the hosts go on using it."""
     reader, follower = start(store, "host-1"), start(store, "host-2")
-    copy = go_back(store, 12, 14, 16)
+    copy = backup_before(store, 12, 14, 16)
     reader.run(1)
     follower.run(1)
     store.restore(copy)
-    reader.run(FEW)
-    follower.run(FEW)
+    reader.run(CALLS_TO_CONVERGE)
+    follower.run(CALLS_TO_CONVERGE)
     store.register(LEAVING, state="draining")
-    reader.run(FEW)
+    reader.run(CALLS_TO_CONVERGE)
     follower.follow(reader)
     assert reader.knows_leaving()
     assert follower.knows_leaving()
 
 
-def test_change_under_a_revision_that_was_given_out_again_is_heard_of(store):
+def test_change_with_a_reused_revision_is_applied(store):
     """A configuration is accepted at the revision that hosts have read up to.
 
     They wait for what is above it, and go on with the old one.
     """
     host = start(store)
-    copy = go_back(store, 12)
+    copy = backup_before(store, 12)
     host.run(1)
     store.restore(copy)
     store.configure(14)
     assert store.revision == copy.revision + 1
-    host.run(FEW)
+    host.run(CALLS_TO_CONVERGE)
     assert host.tables.configuration == 14
 
 
-def test_host_that_was_away_hears_of_what_was_written_again_below_its_revision(store):
+def test_disconnected_host_learns_of_changes_rewritten_below_its_revision(store):
     """A host is cut off while the store goes back and passes its revision anew."""
     host = start(store)
-    copy = go_back(store, 12)
+    copy = backup_before(store, 12)
     host.run(1)
     store.restore(copy)
     store.register(LEAVING, state="draining")
     for version in (14, 16, 18):
         store.configure(version)
-    host.run(FEW)
+    host.run(CALLS_TO_CONVERGE)
     assert host.tables.configuration == 18
     assert host.knows_leaving()
 
 
-def test_store_that_went_back_is_not_listed_again_and_again(store):
+def test_restored_store_is_not_listed_repeatedly(store):
     """Each host lists the store some twenty-five times a second, for seconds."""
     host = start(store)
-    copy = go_back(store, 12, 14, 16)
+    copy = backup_before(store, 12, 14, 16)
     host.run(1)
     store.restore(copy)
     store.calls.clear()
@@ -175,18 +175,18 @@
     assert store.calls.count("/api/kv-range") <= 2
 
 
-def host_of_lost_targets(store):
+def host_after_target_loss(store):
     """Return a host that knows targets which the store has lost with a copy."""
     copy = store.copy()
     for name in STARTED:
         store.register(name)
     host = start(store)
     store.restore(copy)
-    host.run(FEW)
+    host.run(CALLS_TO_CONVERGE)
     return host
 
 
-def test_targets_that_the_copy_lacks_are_used_until_they_could_have_written_again(
+def test_targets_missing_from_the_backup_are_used_until_they_can_re_register(
     store,
 ):
     """Most targets of a service start, and the store loses their entries.
@@ -194,15 +194,15 @@
     They live, and write them again within two seconds. Taken for gone until then, they
     would leave the load of all to the others, or their service without a target.
     """
-    host = host_of_lost_targets(store)
+    host = host_after_target_loss(store)
     host.wait(2.0)
     assert host.usable() == {LEAVING, STAYING, *STARTED}
     host.wait(0.5)
     assert host.usable() == {LEAVING, STAYING}
 
 
-def test_target_that_has_written_again_stays(store):
-    host = host_of_lost_targets(store)
+def test_re_registered_target_stays(store):
+    host = host_after_target_loss(store)
     store.register(STARTED[0], seq=60)
     host.run(1)
     host.wait(30.0)
@@ -221,11 +221,11 @@
     store.register(LEAVING, state="draining")
     store.delete(f"servers/{LEAVING}")
     store.restore(store.copy())
-    host.run(FEW)
+    host.run(CALLS_TO_CONVERGE)
     assert host.usable() == {STAYING, *STARTED}
 
 
-def test_target_that_leaves_is_not_used_again_where_the_copy_has_it_ready(store):
+def test_leaving_target_is_not_reused_when_the_backup_has_it_ready(store):
     """A target says that it leaves; the store forgets that, and gives flows to it.
 
     What it had said before is no news, though its entry has a newer revision.
@@ -235,12 +235,12 @@
     store.register(LEAVING, state="draining", seq=50)
     host.run(1)
     store.restore(copy)
-    host.run(FEW)
+    host.run(CALLS_TO_CONVERGE)
     host.wait(30.0)
     assert host.usable() == {STAYING}
 
 
-def test_copy_does_not_make_a_warm_target_cold_again(store):
+def test_restore_does_not_reset_the_warmup_of_a_target(store):
     """A target has been warm for long; in the copy it has just started."""
     store.register(STAYING, warmup_left_ms=1500, seq=4)
     host = start(store)
@@ -249,21 +249,21 @@
     store.configure(12)
     host.run(1)
     store.restore(copy)
-    host.run(FEW)
+    host.run(CALLS_TO_CONVERGE)
     assert host.tables.targets[STAYING].warm_at <= host.now
 
 
-def test_target_that_has_started_again_is_taken_from_the_copy_of_a_later_start(store):
+def test_entry_of_a_later_start_replaces_that_of_an_earlier_one(store):
     """A new start counts its entries anew; its first one has a smaller number."""
     host = start(store)
     store.register(STAYING, seq=1, born=8, slots=2)
     copy = store.copy()
     store.restore(copy)
-    host.run(FEW)
+    host.run(CALLS_TO_CONVERGE)
     assert host.tables.targets[STAYING].target.started == 8
 
 
-def test_zone_stays_drained_while_the_copy_lacks_that(store):
+def test_zone_stays_drained_when_the_backup_lacks_the_drain(store):
     """Operators drain a zone; the store forgets it, and flows go there again.
 
     They write it again; a host cannot know how soon.
@@ -272,44 +272,44 @@
     store.put("op/evacuate/south", {})
     host = start(store)
     store.restore(copy)
-    host.run(FEW)
+    host.run(CALLS_TO_CONVERGE)
     host.wait(5.0)
     assert host.tables.is_drained("south")
     host.wait(30.0)
     assert not host.tables.is_drained("south")
 
 
-def test_drain_that_was_written_again_holds(store):
+def test_rewritten_drain_stays_in_force(store):
     copy = store.copy()
     store.put("op/evacuate/south", {})
     host = start(store)
     store.restore(copy)
-    host.run(FEW)
+    host.run(CALLS_TO_CONVERGE)
     store.put("op/evacuate/south", {})
     host.run(1)
     host.wait(30.0)
     assert host.tables.is_drained("south")
 
 
-def test_configuration_never_goes_back_with_the_store(store):
+def test_configuration_is_not_rolled_back_by_a_restore(store):
     """A route is removed; the store comes back from before that."""
     host = start(store)
-    copy = go_back(store, 12)
+    copy = backup_before(store, 12)
     host.run(1)
     store.restore(copy)
-    host.run(FEW)
+    host.run(CALLS_TO_CONVERGE)
     assert host.tables.configuration == 12
 
 
-def test_route_that_the_copy_lacks_is_not_refused_until_operators_could_write_it(store):
+def test_route_missing_from_the_backup_is_not_refused_until_it_can_be_rewritten(store):
     """A route is added; the store comes back from before that, and a host starts.
 
     It refused callers for certain, since the store had just told it everything.
     """
     host = start(store)
-    copy = go_back(store, 12)
+    copy = backup_before(store, 12)
     store.restore(copy)
-    host.run(FEW)
+    host.run(CALLS_TO_CONVERGE)
     assert not is_current(host.tables, TIMES, host.now)
     store.configure(12)
     host.wait(20.0)
@@ -317,7 +317,7 @@
     assert is_current(host.tables, TIMES, host.now)
 
 
-def test_target_that_two_copies_lack_is_not_taken_for_gone_at_once(store):
+def test_second_restore_resets_the_time_until_a_missing_target_counts_as_gone(store):
     """A store comes back from an older copy twice in three seconds.
 
     A target that had written its entry again is missing once more. Counted from the
@@ -327,28 +327,28 @@
     store.register(STARTED[0])
     host = start(store)
     store.restore(copy)
-    host.run(FEW)
+    host.run(CALLS_TO_CONVERGE)
     row = host.tables.targets[STARTED[0]]
     host.wait(GONE_CERTAIN)
     store.restore(copy)
-    host.run(FEW)
+    host.run(CALLS_TO_CONVERGE)
     assert not certainly_gone(host.tables, row, host.now)
     host.wait(2 * GONE_CERTAIN)
     host.run(1)
     assert certainly_gone(host.tables, row, host.now)
 
 
-def test_follower_hears_of_a_configuration_that_its_reader_has_since_before(store):
+def test_follower_learns_of_a_configuration_its_reader_had_before_the_restore(store):
     """The store goes back; a follower is started and reads an older configuration.
 
     Operators write theirs again. The reader has it, so it was no news there, and the
     follower was told of none: it went on with the older one for good.
     """
     reader = start(store, "host-1")
-    copy = go_back(store, 12)
+    copy = backup_before(store, 12)
     reader.run(1)
     store.restore(copy)
-    reader.run(FEW)
+    reader.run(CALLS_TO_CONVERGE)
     follower = start(store, "host-2")
     assert follower.tables.configuration == 10
     store.configure(12)
