--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -5,7 +5,6 @@
 from typing import TYPE_CHECKING
 
 from citronspring.entities import HostState
-from citronspring.flags import FIN, RST, SYN
 from citronspring.messages import (
     Drop,
     DropReason,
@@ -23,6 +22,7 @@
 from citronspring.systems.ownership import update_owners
 from citronspring.systems.revisions import apply_snapshot
 from citronspring.tables import HostRow, Tables
+from citronspring.tcp_flags import FIN, RST, SYN
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -21,8 +21,8 @@
 from benchmarks.result import Result
 from benchmarks.world import make_host
 from citronspring.balancer import Balancer
-from citronspring.flags import ACK, SYN
 from citronspring.systems.binding import remove_flow
+from citronspring.tcp_flags import ACK, SYN
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/benchmarks/direct.py
+++ b/benchmarks/direct.py
@@ -5,7 +5,6 @@
 from typing import TYPE_CHECKING
 
 from benchmarks.world import SERVICE_IP, SERVICE_PORT, make_snapshot, make_target
-from citronspring.flags import ACK, FIN, SYN
 from citronspring.messages import (
     Packet,
     PacketReceived,
@@ -14,6 +13,7 @@
     SnapshotRead,
 )
 from citronspring.rendezvous import flow_key
+from citronspring.tcp_flags import ACK, FIN, SYN
 
 if TYPE_CHECKING:
     from citronspring.balancer import Balancer
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -17,7 +17,6 @@
 from benchmarks.world import make_host
 from citronspring.balancer import Balancer
 from citronspring.control.envelope import DatagramEncoder
-from citronspring.flags import ACK, FIN, RST, SYN
 from citronspring.messages import (
     ControlReceived,
     Packet,
@@ -37,6 +36,7 @@
 from citronspring.systems.idle import deactivate_idle_accounts
 from citronspring.systems.loads import send_loads
 from citronspring.systems.openings import expire_openings
+from citronspring.tcp_flags import ACK, FIN, RST, SYN
 
 if TYPE_CHECKING:
     from citronspring.entities import FlowKey, Snapshot
--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -23,9 +23,9 @@
     Snapshot,
     Target,
 )
-from citronspring.flags import SYN
 from citronspring.messages import Packet, PacketReceived, SnapshotRead
 from citronspring.rendezvous import flow_key
+from citronspring.tcp_flags import SYN
 
 COMMAND = "python -m benchmarks --only footprint"
 
--- a/benchmarks/relays.py
+++ b/benchmarks/relays.py
@@ -17,7 +17,6 @@
 from benchmarks.result import Result
 from benchmarks.world import make_host
 from citronspring.balancer import Balancer
-from citronspring.flags import ACK, SYN
 from citronspring.messages import (
     Packet,
     PacketReceived,
@@ -26,6 +25,7 @@
     RelayReceived,
     SendToTarget,
 )
+from citronspring.tcp_flags import ACK, SYN
 
 if TYPE_CHECKING:
     from citronspring.entities import FlowKey
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -23,9 +23,9 @@
     Snapshot,
     Target,
 )
-from citronspring.flags import ACK
 from citronspring.packets import MAX_DATAGRAM, encapsulate, encode_tcp
 from citronspring.settings import FabricSection, HostSection, PlatformSection, Settings
+from citronspring.tcp_flags import ACK
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -76,7 +76,7 @@
         return sock.getsockname()[1]
 
 
-class FixedSource:
+class StaticConfiguration:
     """A configuration that never changes.
 
     Parameters
@@ -127,7 +127,7 @@
         fabric=FabricSection(gateway=ends.gateway),
         platform=PlatformSection(url="http://127.0.0.1:1", zones=(ZONE,)),
     )
-    source = FixedSource(Snapshot(1, (account,)))
+    source = StaticConfiguration(Snapshot(1, (account,)))
     anyio.run(HostDaemon.from_settings(settings, source).run)
 
 
--- a/benchmarks/tokens.py
+++ b/benchmarks/tokens.py
@@ -14,10 +14,10 @@
 from benchmarks.result import Result
 from citronspring.daemons.token_host import BATCH, TokenHost
 from citronspring.endpoints import Endpoint
-from citronspring.flags import ACK, SYN
 from citronspring.host_settings import HostSettings
 from citronspring.platform.__main__ import PLATFORM_ADAPTER
 from citronspring.platform.packets import HEADER
+from citronspring.tcp_flags import ACK, SYN
 from citronspring.tokens.balancer import TokenBalancer
 from citronspring.tokens.entities import Packet, Route, Share, route_key
 from citronspring.tokens.entries import Configuration, Target
--- a/citronspring/admin/application.py
+++ b/citronspring/admin/application.py
@@ -10,10 +10,10 @@
 
 from citronspring.admin import configuration, status
 from citronspring.admin.errors import MalformedRequestError, MethodNotAllowedError
-from citronspring.admin.openapi import describe
+from citronspring.admin.openapi import make_openapi_document
 from citronspring.admin.operations import Administration, Call, Operation
-from citronspring.admin.problems import JsonResponse, problem_of
-from citronspring.admin.tokens import Callers, Role
+from citronspring.admin.problems import JsonResponse, problem_response
+from citronspring.admin.tokens import Authenticator, Role
 from citronspring.errors import CitronspringError, NotFoundError
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 
 async def show_openapi(call: Call) -> Response:
     """Answer with the OpenAPI document."""
-    return JsonResponse(describe(OPERATIONS))
+    return JsonResponse(make_openapi_document(OPERATIONS))
 
 
 #: Every operation of the API.
@@ -40,18 +40,20 @@
 
 def make_application(host: HostProcess, store: Configuration) -> Starlette:
     """Make the application of one host; raises SettingsError on its tokens."""
-    callers = Callers.from_settings(host.settings.admin)
-    administration = Administration(host, store, callers)
+    authenticator = Authenticator.from_settings(host.settings.admin)
+    administration = Administration(host, store, authenticator)
     routes = [operation.to_route(administration) for operation in OPERATIONS]
-    return Starlette(routes=routes, exception_handlers={HTTPException: answer_http})
+    return Starlette(
+        routes=routes, exception_handlers={HTTPException: handle_http_exception}
+    )
 
 
-async def answer_http(request: Request, error: Exception) -> Response:
+async def handle_http_exception(request: Request, error: Exception) -> Response:
     """Answer what Starlette itself refuses."""
-    return problem_of(error_of(error))
+    return problem_response(translate_http_exception(error))
 
 
-def error_of(error: Exception) -> CitronspringError:
+def translate_http_exception(error: Exception) -> CitronspringError:
     """Return the typed error of one that Starlette raised."""
     match error:
         case HTTPException(status_code=HTTPStatus.NOT_FOUND):
--- a/citronspring/admin/bodies.py
+++ b/citronspring/admin/bodies.py
@@ -20,7 +20,7 @@
     from starlette.requests import Request
 
 #: Seconds a body may take to arrive.
-BODY_SECONDS = 10.0
+BODY_TIMEOUT_SECONDS = 10.0
 
 JSON_TYPE = "application/json"
 
@@ -76,7 +76,7 @@
     """
     data = bytearray()
     try:
-        with anyio.fail_after(BODY_SECONDS):
+        with anyio.fail_after(BODY_TIMEOUT_SECONDS):
             async for chunk in request.stream():
                 data += chunk
                 if len(data) > limit:
@@ -85,7 +85,7 @@
                     )
     except TimeoutError:
         raise RequestTimeoutError(
-            f"the body took more than {BODY_SECONDS:g} s", "send it again"
+            f"the body took more than {BODY_TIMEOUT_SECONDS:g} s", "send it again"
         ) from None
     except ClientDisconnect:
         raise MalformedRequestError("the body ended early", "send it again") from None
--- a/citronspring/admin/configuration.py
+++ b/citronspring/admin/configuration.py
@@ -54,7 +54,7 @@
         )
     change = PutTemplate(
         change_id=call.change_id,
-        author=call.caller.name,
+        author=call.principal.name,
         if_revision=body.if_revision,
         template={**body.template, "name": name},
     )
@@ -121,7 +121,7 @@
     body = cast("PutAccountBody", await call.read_change())
     change = PutAccount(
         change_id=call.change_id,
-        author=call.caller.name,
+        author=call.principal.name,
         if_revision=body.if_revision,
         account_id=call.path("account"),
         template=body.template,
@@ -138,7 +138,7 @@
     call.change_id = query.get("change_id") or call.change_id
     change = DeleteAccount(
         change_id=call.change_id,
-        author=call.caller.name,
+        author=call.principal.name,
         if_revision=body.if_revision if revision is None else revision,
         account_id=call.path("account"),
     )
@@ -160,7 +160,7 @@
     body = await call.read_change()
     change = kind(
         change_id=call.change_id,
-        author=call.caller.name,
+        author=call.principal.name,
         if_revision=body.if_revision,
         account_id=call.path("account"),
         target_id=call.path("target"),
--- a/citronspring/admin/openapi.py
+++ b/citronspring/admin/openapi.py
@@ -13,7 +13,7 @@
 
     from citronspring.admin.operations import Operation
 
-PROBLEM = {
+PROBLEM_SCHEMA = {
     "type": "object",
     "required": ["type", "title", "status", "kind", "detail", "remedy"],
     "properties": {
@@ -29,7 +29,7 @@
 }
 
 
-def describe(operations: Iterable[Operation]) -> dict[str, Any]:
+def make_openapi_document(operations: Iterable[Operation]) -> dict[str, Any]:
     """Return the document."""
     paths: dict[str, dict[str, Any]] = {}
     for operation in operations:
@@ -39,7 +39,7 @@
         "openapi": "3.1.0",
         "info": {"title": "citronspring administration", "version": __version__},
         "components": {
-            "schemas": {"Problem": PROBLEM},
+            "schemas": {"Problem": PROBLEM_SCHEMA},
             "securitySchemes": {"token": {"type": "http", "scheme": "bearer"}},
         },
         "security": [{"token": []}],
--- a/citronspring/admin/operations.py
+++ b/citronspring/admin/operations.py
@@ -18,7 +18,7 @@
     InternalError,
     MalformedRequestError,
 )
-from citronspring.admin.problems import JsonResponse, problem_of
+from citronspring.admin.problems import JsonResponse, problem_response
 from citronspring.admin.tokens import Role
 from citronspring.errors import CitronspringError, OutcomeUnknownError
 from citronspring.events import (
@@ -36,12 +36,12 @@
     from starlette.responses import Response
 
     from citronspring.admin.port import Configuration, HostProcess
-    from citronspring.admin.tokens import Caller, Callers
+    from citronspring.admin.tokens import Authenticator, Principal
     from citronspring.configuration.changes import AnyChange
 
 #: Refused tokens that are logged, a second, so that guessing fills no log.
 REFUSALS_LOGGED_PER_SECOND = 1.0
-REFUSALS_LOGGED_AT_ONCE = 10.0
+REFUSALS_LOGGED_BURST = 10.0
 
 
 @dataclass(slots=True)
@@ -50,10 +50,10 @@
 
     host: HostProcess
     configuration: Configuration
-    callers: Callers
+    authenticator: Authenticator
     #: Seconds since the epoch, for what the configuration keeps.
     wall_clock: Callable[[], float] = time.time
-    refusals: GcraLimiter = field(default_factory=GcraLimiter)
+    refusal_log_limit: GcraLimiter = field(default_factory=GcraLimiter)
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
     administration: Administration
     operation: Operation
     request: Request
-    caller: Caller
+    principal: Principal
     #: The change it makes, once known.
     change_id: str = ""
 
@@ -96,7 +96,7 @@
         committed = await self.configuration.commit(change, now)
         log(
             CHANGE_ACCEPTED,
-            author=self.caller.name,
+            author=self.principal.name,
             change_id=self.change_id,
             revision=committed.revision,
         )
@@ -135,38 +135,38 @@
     """Answer a request; every error becomes a problem document."""
     call = None
     try:
-        caller = admit(administration, operation, request)
-        call = Call(administration, operation, request, caller)
+        principal = admit(administration, operation, request)
+        call = Call(administration, operation, request, principal)
         return await operation.handle(call)
     except CitronspringError as error:
-        return answer_error(error, call)
+        return error_response(error, call)
     except Exception as error:
         # One bad request must not end the process, which carries live flows.
         log(REQUEST_FAILED, path=operation.path, error=repr(error))
-        return answer_error(InternalError("the program has a fault", "see the log"))
+        return error_response(InternalError("the program has a fault", "see the log"))
 
 
 def admit(
     administration: Administration, operation: Operation, request: Request
-) -> Caller:
+) -> Principal:
     """Return who calls, if they may."""
-    callers = administration.callers
+    authenticator = administration.authenticator
     now = administration.host.clock()
-    if callers.open and "origin" in request.headers:
+    if authenticator.allows_anonymous and "origin" in request.headers:
         # A web page that the operator visits could otherwise post to loopback.
         raise ForbiddenError("web pages may not call", "configure a token")
     try:
-        caller = callers.authenticate(request.headers.get("authorization", ""))
-        callers.admit(caller, now)
-        if caller.role < operation.role:
+        principal = authenticator.authenticate(request.headers.get("authorization", ""))
+        authenticator.admit(principal, now)
+        if principal.role < operation.role:
             raise ForbiddenError(
-                f"{caller.name} may not {operation.role.name.lower()}",
+                f"{principal.name} may not {operation.role.name.lower()}",
                 "use a token with that role",
             )
     except CitronspringError as error:
         log_refusal(administration, error, operation, now)
         raise
-    return caller
+    return principal
 
 
 def log_refusal(
@@ -176,20 +176,20 @@
     now: float,
 ) -> None:
     """Log that a token was refused, at a bounded rate."""
-    limit = administration.refusals
-    if limit.admit(now, REFUSALS_LOGGED_PER_SECOND, REFUSALS_LOGGED_AT_ONCE):
+    limit = administration.refusal_log_limit
+    if limit.admit(now, REFUSALS_LOGGED_PER_SECOND, REFUSALS_LOGGED_BURST):
         log(TOKEN_REFUSED, reason=error.message, path=operation.path)
 
 
-def answer_error(error: CitronspringError, call: Call | None = None) -> Response:
+def error_response(error: CitronspringError, call: Call | None = None) -> Response:
     """Return the problem document of an error, and log what it did to a change."""
     change_id = call.change_id if call else ""
     if call and change_id:
         unknown = isinstance(error, OutcomeUnknownError)
         event = CHANGE_UNKNOWN if unknown else CHANGE_REFUSED
-        author = call.caller.name
+        author = call.principal.name
         log(event, author=author, change_id=change_id, reason=str(error))
-    return problem_of(error, change_id)
+    return problem_response(error, change_id)
 
 
 def read_revision(text: str | None) -> int | None:
@@ -201,11 +201,11 @@
     raise MalformedRequestError("if_revision is no revision", "give a whole number")
 
 
-def accepted(content: dict[str, object]) -> Response:
+def accepted_response(content: dict[str, object]) -> Response:
     """Return the answer to something that has only begun."""
     return JsonResponse(content, HTTPStatus.ACCEPTED.value)
 
 
-def wait_of(deadline: float, now: float) -> int:
+def seconds_until(deadline: float, now: float) -> int:
     """Return whole seconds until a deadline."""
     return max(0, math.ceil(deadline - now))
--- a/citronspring/admin/problems.py
+++ b/citronspring/admin/problems.py
@@ -61,7 +61,7 @@
     media_type = MEDIA_TYPE
 
 
-def problem_of(error: CitronspringError, change_id: str = "") -> ProblemResponse:
+def problem_response(error: CitronspringError, change_id: str = "") -> ProblemResponse:
     """Return the answer to a request that met an error.
 
     Parameters
@@ -79,14 +79,14 @@
         "kind": error.kind,
         "detail": error.message,
         "remedy": error.remedy,
-        **details_of(error),
+        **extra_members(error),
     }
     if change_id:
         body["change_id"] = change_id
-    return ProblemResponse(body, status.value, headers_of(error))
+    return ProblemResponse(body, status.value, error_headers(error))
 
 
-def details_of(error: CitronspringError) -> dict[str, Any]:
+def extra_members(error: CitronspringError) -> dict[str, Any]:
     """Return the members that only some kinds have."""
     match error:
         case ConflictError():
@@ -105,7 +105,7 @@
     return {}
 
 
-def headers_of(error: CitronspringError) -> dict[str, str]:
+def error_headers(error: CitronspringError) -> dict[str, str]:
     """Return the headers that tell a client what to do next."""
     match error:
         case RateLimitedError():
--- a/citronspring/admin/server.py
+++ b/citronspring/admin/server.py
@@ -43,7 +43,7 @@
     application = make_application(host, store)
     tls = tls_files(section)
     endpoint = listen_endpoint(host.settings)
-    announce(host.settings, endpoint)
+    log_listening(host.settings, endpoint)
     await serve_application(application, endpoint, tls, task_status=task_status)
 
 
@@ -53,7 +53,9 @@
         return None
     try:
         context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
-        context.load_cert_chain(section.certificate_file, section.key_file, no_password)
+        context.load_cert_chain(
+            section.certificate_file, section.key_file, reject_encrypted_key
+        )
     except (OSError, ValueError) as error:
         message = f"admin.certificate_file = {section.certificate_file!r}: {error}"
         remedy = "name a PEM certificate and its key, without a password"
@@ -61,7 +63,7 @@
     return TlsFiles(section.certificate_file, section.key_file)
 
 
-def no_password() -> str:
+def reject_encrypted_key() -> str:
     """Refuse an encrypted key, for which the library would ask the terminal."""
     raise ValueError("the key is encrypted")
 
@@ -75,7 +77,7 @@
     return Endpoint(loopback, wanted.port)
 
 
-def announce(settings: Settings, endpoint: Endpoint) -> None:
+def log_listening(settings: Settings, endpoint: Endpoint) -> None:
     """Log where the API listens, and what is weak about it."""
     log(ADMIN_LISTENING, listen=str(endpoint))
     section = settings.admin
--- a/citronspring/admin/status.py
+++ b/citronspring/admin/status.py
@@ -8,7 +8,12 @@
 from starlette.responses import Response
 
 from citronspring import __version__
-from citronspring.admin.operations import Call, Operation, accepted, wait_of
+from citronspring.admin.operations import (
+    Call,
+    Operation,
+    accepted_response,
+    seconds_until,
+)
 from citronspring.admin.problems import JsonResponse
 from citronspring.admin.tokens import Role
 from citronspring.configuration.changes import change_id_revision
@@ -54,7 +59,7 @@
             {
                 "account_id": row.target.account_id,
                 "target_id": target_id,
-                "seconds_left": wait_of(row.health.ejected_until, now),
+                "seconds_left": seconds_until(row.health.ejected_until, now),
             }
             for target_id, row in sorted(tables.targets.items())
             if row.health.ejected_until > now
@@ -98,8 +103,8 @@
     call.host.leave()
     tables = call.host.core.tables
     deadline = tables.leave_deadline or call.host.clock()
-    wait = wait_of(deadline, call.host.clock())
-    return accepted({"host": tables.host_id, "seconds_left": wait})
+    wait = seconds_until(deadline, call.host.clock())
+    return accepted_response({"host": tables.host_id, "seconds_left": wait})
 
 
 async def show_metrics(call: Call) -> Response:
--- a/citronspring/admin/tokens.py
+++ b/citronspring/admin/tokens.py
@@ -20,12 +20,12 @@
     from citronspring.settings import AdminSection, TokenSection
 
 #: Shortest token, characters. A shorter one could be found by trying.
-SHORTEST_TOKEN = 16
+MIN_TOKEN_BYTES = 16
 
 #: Who the author of a change is where no token is configured.
-LOOPBACK_NAME = "loopback"
+LOOPBACK_AUTHOR = "loopback"
 
-SCHEME = "bearer "
+BEARER_PREFIX = "bearer "
 
 
 class Role(IntEnum):
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Caller:
+class Principal:
     """Who makes requests."""
 
     #: The author of changes.
@@ -48,15 +48,15 @@
 
 
 @dataclass(slots=True)
-class Callers:
+class Authenticator:
     """Everyone who may make requests."""
 
-    callers: tuple[Caller, ...]
+    principals: tuple[Principal, ...]
     requests_per_second: float
     burst: int
 
     @classmethod
-    def from_settings(cls, section: AdminSection) -> Callers:
+    def from_settings(cls, section: AdminSection) -> Authenticator:
         """Read the tokens; without any, whoever reaches loopback may do all.
 
         Raises
@@ -64,68 +64,68 @@
         SettingsError
             Naming the token, never its value.
         """
-        callers = tuple(read_caller(token) for token in section.tokens)
-        check_different(callers)
-        if not callers:
-            callers = (Caller(LOOPBACK_NAME, Role.OPERATE),)
-        return cls(callers, section.requests_per_second, section.burst)
+        principals = tuple(read_principal(token) for token in section.tokens)
+        check_unique_tokens(principals)
+        if not principals:
+            principals = (Principal(LOOPBACK_AUTHOR, Role.OPERATE),)
+        return cls(principals, section.requests_per_second, section.burst)
 
     @property
-    def open(self) -> bool:
+    def allows_anonymous(self) -> bool:
         """Whether no token is configured."""
-        return not self.callers[0].digest
+        return not self.principals[0].digest
 
-    def authenticate(self, authorization: str) -> Caller:
+    def authenticate(self, authorization: str) -> Principal:
         """Return who an ``Authorization`` header belongs to.
 
         Every token is compared, each in constant time: the time of the answer
         tells neither how much of a guess is right nor which token it is near.
         """
-        if self.open:
-            return self.callers[0]
-        given = digest_of(credentials_of(authorization))
+        if self.allows_anonymous:
+            return self.principals[0]
+        given = token_digest(bearer_token(authorization))
         found = None
-        for caller in self.callers:
-            if hmac.compare_digest(given, caller.digest):
-                found = caller
+        for principal in self.principals:
+            if hmac.compare_digest(given, principal.digest):
+                found = principal
         if found is None:
             raise UnauthorizedError(
                 "no known token", "send 'Authorization: Bearer TOKEN'"
             )
         return found
 
-    def admit(self, caller: Caller, now: float) -> None:
+    def admit(self, principal: Principal, now: float) -> None:
         """Count a request; raises RateLimitedError beyond the rate."""
-        if caller.limit.admit(now, self.requests_per_second, self.burst):
+        if principal.limit.admit(now, self.requests_per_second, self.burst):
             return
-        retry_at = caller.limit.retry_at(self.requests_per_second, self.burst)
+        retry_at = principal.limit.retry_at(self.requests_per_second, self.burst)
         raise RateLimitedError(
-            f"{caller.name} makes more than {self.requests_per_second:g} requests a "
+            f"{principal.name} makes more than {self.requests_per_second:g} requests a "
             "second",
             "wait as long as Retry-After says",
             wait_seconds=retry_at - now,
         )
 
 
-def credentials_of(authorization: str) -> bytes:
+def bearer_token(authorization: str) -> bytes:
     """Return the token of a header, empty when it has none."""
-    if not authorization.lower().startswith(SCHEME):
+    if not authorization.lower().startswith(BEARER_PREFIX):
         return b""
-    return authorization[len(SCHEME) :].strip().encode("latin-1", "replace")
+    return authorization[len(BEARER_PREFIX) :].strip().encode("latin-1", "replace")
 
 
-def digest_of(token: bytes) -> bytes:
+def token_digest(token: bytes) -> bytes:
     """Return the digest under which a token is kept and compared."""
     return hashlib.sha256(token).digest()
 
 
-def read_caller(section: TokenSection) -> Caller:
+def read_principal(section: TokenSection) -> Principal:
     """Read one token from its file or environment variable."""
     token = read_token(section).strip()
-    if len(token) < SHORTEST_TOKEN:
-        message = f"admin.tokens: {section.name} has fewer than {SHORTEST_TOKEN} bytes"
+    if len(token) < MIN_TOKEN_BYTES:
+        message = f"admin.tokens: {section.name} has fewer than {MIN_TOKEN_BYTES} bytes"
         raise SettingsError(message, "make a random one: openssl rand -hex 32")
-    return Caller(section.name, Role[section.role.upper()], digest_of(token))
+    return Principal(section.name, Role[section.role.upper()], token_digest(token))
 
 
 def read_token(section: TokenSection) -> bytes:
@@ -143,11 +143,13 @@
         raise SettingsError(message, "name a readable file") from None
 
 
-def check_different(callers: Iterable[Caller]) -> None:
+def check_unique_tokens(principals: Iterable[Principal]) -> None:
     """Refuse one token under two names: its author and role would be a guess."""
     seen: dict[bytes, str] = {}
-    for caller in callers:
-        if caller.digest in seen:
-            message = f"admin.tokens: {caller.name} and {seen[caller.digest]} are equal"
+    for principal in principals:
+        if principal.digest in seen:
+            message = (
+                f"admin.tokens: {principal.name} and {seen[principal.digest]} are equal"
+            )
             raise SettingsError(message, "give each its own token")
-        seen[caller.digest] = caller.name
+        seen[principal.digest] = principal.name
--- a/citronspring/cli/changes.py
+++ b/citronspring/cli/changes.py
@@ -32,7 +32,7 @@
     return f"{account_path(account_id)}/targets/{quote(target_id, safe='')}"
 
 
-def make_change(
+def send_change(
     invocation: Invocation, what: str, method: str, path: str, body: dict[str, Any]
 ) -> int:
     """Make one change, print its id before it is sent, and what came of it."""
@@ -57,7 +57,7 @@
         raise InputFileError(f"{name}: names no template", "add name")
     path = template_path(template["name"])
     what = f"template {template['name']}"
-    return make_change(invocation, what, "PUT", path, {"template": template})
+    return send_change(invocation, what, "PUT", path, {"template": template})
 
 
 def put_account(invocation: Invocation) -> int:
@@ -69,14 +69,14 @@
         message = f"{name}: holds {unknown[0]}" if unknown else f"{name}: no template"
         raise InputFileError(message, "write template and parameters, nothing else")
     path = account_path(account_id)
-    return make_change(invocation, f"account {account_id}", "PUT", path, body)
+    return send_change(invocation, f"account {account_id}", "PUT", path, body)
 
 
 def delete_account(invocation: Invocation) -> int:
     """Delete a client account."""
     (account_id,) = invocation.arguments
     path = account_path(account_id)
-    return make_change(invocation, f"account {account_id}", "DELETE", path, {})
+    return send_change(invocation, f"account {account_id}", "DELETE", path, {})
 
 
 def change_target(invocation: Invocation, verb: str) -> int:
@@ -84,7 +84,7 @@
     account_id, target_id = invocation.arguments
     path = f"{target_path(account_id, target_id)}/{verb}"
     what = f"target {target_id} of {account_id}"
-    return make_change(invocation, what, "POST", path, {})
+    return send_change(invocation, what, "POST", path, {})
 
 
 def drain_target(invocation: Invocation) -> int:
--- a/citronspring/cli/client.py
+++ b/citronspring/cli/client.py
@@ -22,16 +22,16 @@
     from citronspring.cli.commands import Invocation
 
 #: Times a request is sent, to one host after the other.
-ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 
 #: Longest wait between two attempts, seconds, whatever a host asks for.
-LONGEST_WAIT = 2.0
+MAX_RETRY_DELAY = 2.0
 
 #: Seconds an answer may take. A host needs several calls of the platform for one.
-ANSWER_SECONDS = 20.0
+RESPONSE_TIMEOUT_SECONDS = 20.0
 
 #: Failures before any byte of a request went out.
-NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.UnsupportedProtocol)
+NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.UnsupportedProtocol)
 
 Body = dict[str, Any]
 
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NotTaken:
+class NotProcessed:
     """The request was not taken, and may be sent again."""
 
     reason: str
@@ -53,14 +53,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class ResponseLost:
     """The request may have been run; no answer tells."""
 
     reason: str
     wait_seconds: float = 0.0
 
 
-Failure = Refused | NotTaken | Lost
+Failure = Refused | NotProcessed | ResponseLost
 
 
 @dataclass(slots=True)
@@ -80,16 +80,16 @@
         headers = {"Authorization": f"Bearer {token}"} if token else {}
         client = httpx.Client(
             headers=headers,
-            timeout=ANSWER_SECONDS,
-            verify=trusted(invocation.flags["ca_file"]),
+            timeout=RESPONSE_TIMEOUT_SECONDS,
+            verify=make_ssl_context(invocation.flags["ca_file"]),
             trust_env=False,
         )
         named = hosts or tuple(invocation.flags["host"])
-        return cls(tuple(url_of(host) for host in named), client)
+        return cls(tuple(host_url(host) for host in named), client)
 
     def get(self, path: str) -> Body:
         """Read from the first host that answers."""
-        return self.repeat("GET", path, None, "")
+        return self.send_with_retries("GET", path, None, "")
 
     def change(self, method: str, path: str, body: Body, change_id: str) -> Body:
         """Make a change, at most once however often it is sent.
@@ -101,7 +101,9 @@
         RemoteError, UnreachableError
             Nothing was changed.
         """
-        return self.repeat(method, path, body | {"change_id": change_id}, change_id)
+        return self.send_with_retries(
+            method, path, body | {"change_id": change_id}, change_id
+        )
 
     def new_change_id(self) -> str:
         """Make a change id from the newest revision that a host knows."""
@@ -110,11 +112,13 @@
             raise RemoteError("internal", "the status names no revision", "upgrade")
         return make_change_id(revision, uuid.uuid4().hex)
 
-    def repeat(self, method: str, path: str, body: Body | None, change_id: str) -> Body:
+    def send_with_retries(
+        self, method: str, path: str, body: Body | None, change_id: str
+    ) -> Body:
         """Send a request until it has an answer, or the attempts are spent."""
         lost = ""
-        failure: Failure = NotTaken("no host is named")
-        for attempt in range(ATTEMPTS):
+        failure: Failure = NotProcessed("no host is named")
+        for attempt in range(MAX_ATTEMPTS):
             host = self.hosts[attempt % len(self.hosts)]
             result = self.send(host, method, path, body)
             if result.is_ok():
@@ -123,17 +127,17 @@
             match failure:
                 case Refused():
                     break
-                case Lost(reason, wait):
+                case ResponseLost(reason, wait):
                     lost = reason
                     self.wait(attempt, wait)
-                case NotTaken(wait_seconds=wait):
+                case NotProcessed(wait_seconds=wait):
                     self.wait(attempt, wait)
         raise final_error(failure, lost if change_id else "", change_id)
 
     def wait(self, attempt: int, seconds: float) -> None:
         """Wait before the next attempt, and only once each host was asked."""
-        if attempt + 1 < ATTEMPTS and (attempt + 1) % len(self.hosts) == 0:
-            self.sleep(min(max(seconds, 0.2), LONGEST_WAIT))
+        if attempt + 1 < MAX_ATTEMPTS and (attempt + 1) % len(self.hosts) == 0:
+            self.sleep(min(max(seconds, 0.2), MAX_RETRY_DELAY))
 
     def send(
         self, host: str, method: str, path: str, body: Body | None
@@ -141,17 +145,17 @@
         """Send one request."""
         try:
             response = self.client.request(method, host + path, json=body)
-        except NOT_SENT as error:
-            return Error(NotTaken(f"{host}: {reason_of(error)}"))
+        except NOT_SENT_ERRORS as error:
+            return Error(NotProcessed(f"{host}: {error_text(error)}"))
         except (httpx.InvalidURL, UnicodeError) as error:
             message = f"{escape(host)} is no URL: {escape(error)}"
             raise UsageError(message, "give --host=http://ADDRESS:PORT") from None
         except httpx.HTTPError as error:
-            return Error(Lost(f"{host}: {reason_of(error)}"))
-        return read_answer(host, response)
+            return Error(ResponseLost(f"{host}: {error_text(error)}"))
+        return classify_response(host, response)
 
 
-def trusted(ca_file: str | None) -> ssl.SSLContext:
+def make_ssl_context(ca_file: str | None) -> ssl.SSLContext:
     """Return the certificates to trust."""
     try:
         return ssl.create_default_context(cafile=ca_file)
@@ -160,28 +164,30 @@
         raise UsageError(message, "name a PEM file of certificates") from None
 
 
-def url_of(host: str) -> str:
+def host_url(host: str) -> str:
     """Return the URL of a host that may be named without a scheme."""
     url = host if "://" in host else f"http://{host}"
     return url.rstrip("/")
 
 
-def reason_of(error: Exception) -> str:
+def error_text(error: Exception) -> str:
     """Return why no answer came, in one line."""
     return escape(error) or type(error).__name__
 
 
-def read_answer(host: str, response: httpx.Response) -> Result[Body, Failure]:
+def classify_response(host: str, response: httpx.Response) -> Result[Body, Failure]:
     """Sort a host's answer by what it says of the change."""
     try:
         content = response.json()
     except ValueError:
         content = None
     if not isinstance(content, dict):
-        return Error(Lost(f"{host}: answered {response.status_code} without JSON"))
+        return Error(
+            ResponseLost(f"{host}: answered {response.status_code} without JSON")
+        )
     if response.is_success:
         return Ok(content)
-    wait = wait_of(response)
+    wait = retry_after_seconds(response)
     error = RemoteError(
         str(content.get("kind", "error")),
         one_line(content.get("detail"), response.reason_phrase),
@@ -189,9 +195,9 @@
     )
     match error.kind:
         case "outcome-unknown" | "internal" | "error":
-            return Error(Lost(f"{host}: {error.message}", wait))
+            return Error(ResponseLost(f"{host}: {error.message}", wait))
         case "platform-unavailable" | "rate-limited":
-            return Error(NotTaken(f"{host}: {error.message}", error, wait))
+            return Error(NotProcessed(f"{host}: {error.message}", error, wait))
     return Error(Refused(error))
 
 
@@ -201,7 +207,7 @@
     return "".join(char for char in cleaned if char.isprintable())
 
 
-def wait_of(response: httpx.Response) -> float:
+def retry_after_seconds(response: httpx.Response) -> float:
     """Return the seconds a host asks to wait."""
     text = response.headers.get("retry-after", "")
     return float(text) if text.isascii() and text.isdecimal() else 0.0
@@ -221,10 +227,10 @@
     match failure:
         case Refused(error):
             return error
-        case NotTaken(_, RemoteError() as error):
+        case NotProcessed(_, RemoteError() as error):
             return error
-        case NotTaken(reason) if change_id:
+        case NotProcessed(reason) if change_id:
             remedy = "nothing was changed; name another host with --host"
             return UnreachableError(reason, remedy)
-        case NotTaken(reason) | Lost(reason):
+        case NotProcessed(reason) | ResponseLost(reason):
             return UnreachableError(reason, "name another host with --host")
--- a/citronspring/cli/commands.py
+++ b/citronspring/cli/commands.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TextsFlag:
+class MultiTextFlag:
     """A flag that may be given several times."""
 
     name: str
@@ -52,7 +52,7 @@
     choices: tuple[str, ...]
 
 
-Flag = TextFlag | TextsFlag | NumberFlag | ChoiceFlag
+Flag = TextFlag | MultiTextFlag | NumberFlag | ChoiceFlag
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
         return " ".join(self.words)
 
     @property
-    def line(self) -> str:
+    def synopsis(self) -> str:
         """The command with its arguments."""
         return " ".join((*self.words, *self.arguments))
 
@@ -97,16 +97,16 @@
             raise UsageError(
                 " ".join(str(error).split()), f"see citronspring {self.name} --help"
             ) from None
-        if not self.takes(len(arguments)):
+        if not self.accepts_argument_count(len(arguments)):
             raise UsageError(
                 f"{self.name} takes {len(self.arguments)} arguments, not "
                 f"{len(arguments)}",
-                f"type citronspring {self.line}",
+                f"type citronspring {self.synopsis}",
             )
         known = {flag.name: values[flag.name].value for flag in self.flags}
         return Invocation(tuple(arguments), known)
 
-    def takes(self, count: int) -> bool:
+    def accepts_argument_count(self, count: int) -> bool:
         """Whether so many arguments may be given; a last one with dots repeats."""
         if self.arguments and self.arguments[-1].endswith("..."):
             return count >= len(self.arguments)
@@ -115,7 +115,7 @@
     def help(self) -> str:
         """Return the help of this command."""
         lines = [
-            f"usage: citronspring {self.line} [--flag=value ...]",
+            f"usage: citronspring {self.synopsis} [--flag=value ...]",
             "",
             self.summary,
         ]
@@ -140,7 +140,7 @@
     match flag:
         case TextFlag(name, text, default):
             flags.DEFINE_string(name, default, text, flag_values=values)
-        case TextsFlag(name, text, default):
+        case MultiTextFlag(name, text, default):
             flags.DEFINE_multi_string(name, list(default), text, flag_values=values)
         case NumberFlag(name, text, default):
             flags.DEFINE_integer(name, default, text, 0, flag_values=values)
@@ -154,9 +154,9 @@
     match flag:
         case ChoiceFlag():
             return f"--{flag.name}={'|'.join(flag.choices)}"
-        case TextsFlag(default=(first, *_)):
+        case MultiTextFlag(default=(first, *_)):
             return f"--{flag.name}=TEXT (may be repeated; default {first})"
-        case TextsFlag():
+        case MultiTextFlag():
             return f"--{flag.name}=TEXT (may be repeated)"
         case NumberFlag():
             return f"--{flag.name}=NUMBER"
@@ -174,8 +174,8 @@
 def usage(commands: Iterable[Command], prefix: Sequence[str] = ()) -> str:
     """Return the list of the commands that begin with some words."""
     found = [item for item in commands if item.words[: len(prefix)] == tuple(prefix)]
-    width = max(len(command.line) for command in found)
+    width = max(len(command.synopsis) for command in found)
     lines = ["usage: citronspring COMMAND [ARGUMENT ...] [--flag=value ...]", ""]
-    lines += [f"  {command.line:{width}}  {command.summary}" for command in found]
+    lines += [f"  {command.synopsis:{width}}  {command.summary}" for command in found]
     lines += ["", "citronspring COMMAND --help shows the flags of a command."]
     return "\n".join(lines)
--- a/citronspring/cli/experiment.py
+++ b/citronspring/cli/experiment.py
@@ -13,7 +13,7 @@
     from citronspring.experiments.report import Campaign, SeedResult
 
 #: Violations of one seed that are printed.
-SHOWN_VIOLATIONS = 5
+MAX_PRINTED_VIOLATIONS = 5
 
 
 def experiment(invocation: Invocation) -> int:
@@ -22,18 +22,18 @@
     if count < 1:
         raise UsageError("no seeds to run", "give --seeds=1 or more")
     seeds = sorted({*KEPT_SEEDS, *range(first, first + count)})
-    campaign = run_seeds(seeds, tell_broken)
+    campaign = run_seeds(seeds, print_violations)
     print_campaign(campaign)
     return 1 if campaign.broken else 0
 
 
-def tell_broken(result: SeedResult) -> None:
+def print_violations(result: SeedResult) -> None:
     """Print a seed that broke a promise, with the faults it had."""
     if not result.violations:
         return
     faults = ", ".join(fault.kind.value for fault in result.scenario.faults)
     print(f"seed {result.seed} ({result.scenario.hosts} hosts; {faults})")
-    for violation in result.violations[:SHOWN_VIOLATIONS]:
+    for violation in result.violations[:MAX_PRINTED_VIOLATIONS]:
         print(f"  {violation}")
 
 
--- a/citronspring/cli/explain.py
+++ b/citronspring/cli/explain.py
@@ -17,7 +17,7 @@
 def explain(invocation: Invocation) -> int:
     """Print the trail of a flow, target or host through logs."""
     name, *paths = invocation.arguments
-    trail = find_trail(name, read_all(paths))
+    trail = find_trail(name, read_lines(paths))
     if not trail.lines:
         raise NotFoundError(
             f"no line is about {name!r}",
@@ -29,7 +29,7 @@
     return 0
 
 
-def read_all(paths: list[str]) -> Iterator[str]:
+def read_lines(paths: list[str]) -> Iterator[str]:
     """Return the lines of all files."""
     for path in paths:
         try:
--- a/citronspring/cli/flags.py
+++ b/citronspring/cli/flags.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from citronspring.cli.commands import ChoiceFlag, NumberFlag, TextFlag, TextsFlag
+from citronspring.cli.commands import ChoiceFlag, MultiTextFlag, NumberFlag, TextFlag
 
 #: Where the administration API of a host on this machine may be.
 DEFAULT_HOST = "http://127.0.0.1:8440"
 
-HOST = TextsFlag(
+HOST = MultiTextFlag(
     "host",
     "URL of a host's administration API; the next one is asked when one is out.",
     (DEFAULT_HOST,),
--- a/citronspring/cli/main.py
+++ b/citronspring/cli/main.py
@@ -88,7 +88,7 @@
     except KeyboardInterrupt:
         return INTERRUPTED
     except Exception as error:
-        return tell(error)
+        return report_error(error)
 
 
 def wants_help(words: Sequence[str]) -> bool:
@@ -114,9 +114,9 @@
     return first if any(item.words[:1] == first for item in COMMANDS) else ()
 
 
-def tell(error: Exception) -> int:
+def report_error(error: Exception) -> int:
     """Print an error in one line and return its exit code."""
-    for cause in causes(error):
+    for cause in leaf_exceptions(error):
         match cause:
             case BrokenPipeError():
                 # Whoever read the output has left, as `head` does: nobody is there
@@ -126,18 +126,18 @@
             case CitronspringError():
                 print(f"citronspring: {one_line(cause)}", file=sys.stderr)
                 return exit_code_of(cause)
-    first = next(causes(error))
+    first = next(leaf_exceptions(error))
     text = f"{type(first).__name__}: {one_line(first)}; report it as a fault"
     print(f"citronspring: {text}", file=sys.stderr)
     return ERROR.code
 
 
-def causes(error: Exception) -> Iterator[Exception]:
+def leaf_exceptions(error: Exception) -> Iterator[Exception]:
     """Yield an error, or what is inside groups of them."""
     match error:
         case ExceptionGroup():
             for inner in error.exceptions:
-                yield from causes(inner)
+                yield from leaf_exceptions(inner)
         case _:
             yield error
 
--- a/citronspring/cli/output.py
+++ b/citronspring/cli/output.py
@@ -18,30 +18,30 @@
 
 def print_table(headings: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
     """Print rows in columns, numbers to the right."""
-    cells = [[text_of(cell) for cell in row] for row in rows]
+    cells = [[cell_text(cell) for cell in row] for row in rows]
     widths = [
         max(len(line[column]) for line in [headings, *cells])
         for column in range(len(headings))
     ]
     print(
-        joined(
+        join_cells(
             [f"{text:{width}}" for text, width in zip(headings, widths, strict=True)]
         )
     )
     for row, texts in zip(rows, cells, strict=True):
         print(
-            joined(
+            join_cells(
                 f"{text:>{width}}" if isinstance(cell, int) else f"{text:{width}}"
                 for cell, text, width in zip(row, texts, widths, strict=True)
             )
         )
 
 
-def joined(cells: Any) -> str:
+def join_cells(cells: Any) -> str:
     """Return one line of a table."""
     return "  ".join(cells).rstrip()
 
 
-def text_of(cell: object) -> str:
+def cell_text(cell: object) -> str:
     """Return a cell; what a host sent may hold no control characters."""
     return "-" if cell is None else escape(cell)
--- a/citronspring/cli/reference.py
+++ b/citronspring/cli/reference.py
@@ -26,10 +26,10 @@
 """
 
 
-def describe(command: Command) -> list[str]:
+def command_section(command: Command) -> list[str]:
     """Return the lines about one command."""
     lines = ["", f"## {command.name}", "", "```text"]
-    lines += [f"citronspring {command.line}", "```", "", command.summary]
+    lines += [f"citronspring {command.synopsis}", "```", "", command.summary]
     if command.flags:
         lines += ["", "| flag | meaning |", "|---|---|"]
     for flag in command.flags:
@@ -45,7 +45,7 @@
         for item in EXIT_CODES
     ]
     for command in COMMANDS:
-        lines += describe(command)
+        lines += command_section(command)
     return INTRODUCTION + "\n".join(lines) + "\n"
 
 
--- a/citronspring/cli/try_command.py
+++ b/citronspring/cli/try_command.py
@@ -25,7 +25,7 @@
     configure_logs(LogsSection(level="error"))
     report = anyio.run(demonstrate, SEED, print)
     print_report(report)
-    return 0 if report.kept else 1
+    return 0 if report.passed else 1
 
 
 def print_report(report: Report) -> None:
@@ -36,4 +36,4 @@
     for name, value in rows:
         print(f"{name:{width}}  {value:>8}")
     print()
-    print("every promise held" if report.kept else "a promise was broken")
+    print("every promise held" if report.passed else "a promise was broken")
--- a/citronspring/cli/views.py
+++ b/citronspring/cli/views.py
@@ -17,11 +17,11 @@
     from citronspring.cli.commands import Invocation
 
 #: Prints a host's answer for people.
-Show = "Callable[[dict[str, Any]], None]"
+Printer = "Callable[[dict[str, Any]], None]"
 
 
 def view(
-    invocation: Invocation, path: str, show: Callable[[dict[str, Any]], None]
+    invocation: Invocation, path: str, print_answer: Callable[[dict[str, Any]], None]
 ) -> int:
     """Read a path and print what it holds."""
     answer = AdminClient.from_flags(invocation).get(path)
@@ -29,7 +29,7 @@
         print_json(answer)
         return 0
     try:
-        show(answer)
+        print_answer(answer)
     except (KeyError, TypeError, AttributeError):
         message = f"{path}: the host's answer has another form"
         raise RemoteError("error", message, "use the host's release") from None
@@ -38,10 +38,10 @@
 
 def list_templates(invocation: Invocation) -> int:
     """List the templates."""
-    return view(invocation, "/v1/templates", show_templates)
+    return view(invocation, "/v1/templates", print_templates)
 
 
-def show_templates(answer: dict[str, Any]) -> None:
+def print_templates(answer: dict[str, Any]) -> None:
     """Print the templates."""
     rows = [(row["name"], row["revision"]) for row in answer["templates"]]
     print_table(("template", "revision"), rows)
@@ -55,10 +55,10 @@
 
 def list_accounts(invocation: Invocation) -> int:
     """List the client accounts."""
-    return view(invocation, "/v1/accounts", show_accounts)
+    return view(invocation, "/v1/accounts", print_accounts)
 
 
-def show_accounts(answer: dict[str, Any]) -> None:
+def print_accounts(answer: dict[str, Any]) -> None:
     """Print the accounts."""
     names = ("account_id", "template", "targets", "revision")
     rows = [[row[name] for name in names] for row in answer["accounts"]]
@@ -68,10 +68,10 @@
 def show_account(invocation: Invocation) -> int:
     """Show a client account."""
     (account_id,) = invocation.arguments
-    return view(invocation, account_path(account_id), show_one_account)
+    return view(invocation, account_path(account_id), print_account)
 
 
-def show_one_account(answer: dict[str, Any]) -> None:
+def print_account(answer: dict[str, Any]) -> None:
     """Print one account."""
     facts = [
         ("account", answer["account_id"]),
@@ -92,10 +92,10 @@
 def show_history(invocation: Invocation) -> int:
     """Show the last changes of a client account."""
     (account_id,) = invocation.arguments
-    return view(invocation, f"{account_path(account_id)}/history", show_changes)
+    return view(invocation, f"{account_path(account_id)}/history", print_history)
 
 
-def show_changes(answer: dict[str, Any]) -> None:
+def print_history(answer: dict[str, Any]) -> None:
     """Print the changes."""
     rows = [
         (item["revision"], item["author"], item["change_id"], line)
@@ -141,7 +141,7 @@
 def drain_host(invocation: Invocation) -> int:
     """Stop one host gracefully."""
     client = AdminClient.from_flags(invocation, invocation.arguments)
-    answer = client.repeat("POST", "/v1/host/drain", None, "")
+    answer = client.send_with_retries("POST", "/v1/host/drain", None, "")
     if invocation.flags["output"] == "json":
         print_json(answer)
     else:
--- a/citronspring/daemons/http_client.py
+++ b/citronspring/daemons/http_client.py
@@ -6,7 +6,7 @@
 
 from citronspring.daemons.poller import EVENT_READ, EVENT_WRITE
 from citronspring.http_messages import MessageError, MessageReader
-from citronspring.http_request import HttpAnswer
+from citronspring.http_request import HttpResponse
 from citronspring.light_sockets import (
     AF_INET,
     IPPROTO_TCP,
@@ -88,7 +88,7 @@
         self.sock: Socket | None = None
         self.connected = False
         self.outgoing = b""
-        self.done: Callable[[HttpAnswer], None] | None = None
+        self.done: Callable[[HttpResponse], None] | None = None
         self.progress = Progress()
         self.connect_deadline = 0.0
         self.reader = MessageReader(expect_responses=True)
@@ -105,7 +105,7 @@
         request: HttpRequest,
         deadline: float,
         now: float,
-        done: Callable[[HttpAnswer], None],
+        done: Callable[[HttpResponse], None],
         max_body: float = MAX_ANSWER_BYTES,
     ) -> None:
         """Send a request; ``done`` is called once, also when nothing comes back.
@@ -127,7 +127,7 @@
         self,
         sock: Socket,
         deadline: float,
-        done: Callable[[HttpAnswer], None],
+        done: Callable[[HttpResponse], None],
     ) -> None:
         """Take over a connection on which a request has been sent."""
         self.sock = sock
@@ -225,14 +225,14 @@
             self.close()
         done, self.done = self.done, None
         assert done is not None
-        done(HttpAnswer(answer.status, answer.body, answer.headers))
+        done(HttpResponse(answer.status, answer.body, answer.headers))
 
     def fail(self, cause: bytes) -> None:
         """Close the connection; a call under way has failed."""
         self.close()
         done, self.done = self.done, None
         if done is not None:
-            done(HttpAnswer(0, cause))
+            done(HttpResponse(0, cause))
 
     def close(self) -> None:
         """Close the connection."""
--- a/citronspring/daemons/sockets.py
+++ b/citronspring/daemons/sockets.py
@@ -9,7 +9,7 @@
 import anyio
 
 from citronspring.packets import MAX_DATAGRAM
-from citronspring.serving import not_bound
+from citronspring.serving import bind_error
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -44,7 +44,7 @@
         sock.bind((endpoint.ip, endpoint.port))
     except OSError as error:
         sock.close()
-        raise not_bound(endpoint, error) from None
+        raise bind_error(endpoint, error) from None
     return sock
 
 
--- a/citronspring/daemons/store_calls.py
+++ b/citronspring/daemons/store_calls.py
@@ -27,7 +27,7 @@
     from citronspring.daemons.prefetch import Prefetch
     from citronspring.endpoints import Endpoint
     from citronspring.host_settings import HostSettings
-    from citronspring.http_request import HttpAnswer
+    from citronspring.http_request import HttpResponse
     from citronspring.tokens.balancer import TokenBalancer
     from citronspring.tokens.messages import (
         Action,
@@ -95,7 +95,7 @@
         """
         deadline = self.core.answer_deadline(first.call, self.clock())
 
-        def done(answer: HttpAnswer) -> None:
+        def done(answer: HttpResponse) -> None:
             self.finish(first.call, answer, first.sent_at)
 
         self.store.adopt(first.sock, deadline, done)
@@ -137,7 +137,7 @@
         if call is None:
             return
 
-        def done(answer: HttpAnswer) -> None:
+        def done(answer: HttpResponse) -> None:
             self.finish(call, answer, now)
 
         deadline = self.core.answer_deadline(call, now)
@@ -154,7 +154,7 @@
                 largest = self.core.largest_answer(call)
                 self.store.send(request, deadline, now, done, largest)
 
-    def finish(self, call: StoreCall, found: HttpAnswer, sent_at: float) -> None:
+    def finish(self, call: StoreCall, found: HttpResponse, sent_at: float) -> None:
         """Take what came back of a call, and log it if that is nothing."""
         answer = self.decode(call, found)
         self.log_failure(call, answer, sent_at)
@@ -196,7 +196,7 @@
             self.peer.close()
             self.peer.endpoint = endpoint
 
-    def decode(self, call: StoreCall, found: HttpAnswer) -> StoreAnswer:
+    def decode(self, call: StoreCall, found: HttpResponse) -> StoreAnswer:
         """Translate what came back of a call."""
         if found.status == 0:
             return (
@@ -226,13 +226,15 @@
         if call is None:
             return
 
-        def done(found: HttpAnswer) -> None:
+        def done(found: HttpResponse) -> None:
             self.handle_election_answer(call, self.decode_election(call, found), now)
 
         request = self.adapter.encode_election_call(call)
         self.election.send(request, now + CALL_TIMEOUT, now, done)
 
-    def decode_election(self, call: ElectionCall, found: HttpAnswer) -> ElectionAnswer:
+    def decode_election(
+        self, call: ElectionCall, found: HttpResponse
+    ) -> ElectionAnswer:
         """Translate what came back of such a call."""
         if found.status == 0:
             return unanswered(found.body)
--- a/citronspring/daemons/token_host.py
+++ b/citronspring/daemons/token_host.py
@@ -18,7 +18,6 @@
     STATE_DUMP,
     STOPPED,
 )
-from citronspring.flags import SYN
 from citronspring.light_sockets import (
     AF_INET,
     SIGHUP,
@@ -34,6 +33,7 @@
     socketpair,
 )
 from citronspring.light_stdlib import TYPE_CHECKING
+from citronspring.tcp_flags import SYN
 from citronspring.tokens.balancer import TokenBalancer
 from citronspring.tokens.messages import Drop, Forward, Log, ResetCaller, Tell
 from citronspring.tokens.news import LINK_SHARE
--- a/citronspring/demonstration.py
+++ b/citronspring/demonstration.py
@@ -30,14 +30,14 @@
 TRAFFIC_SECONDS = 14.0
 
 #: Seconds the last requests may take to end.
-SETTLE_SECONDS = 8.0
+FINISH_TIMEOUT_SECONDS = 8.0
 
 #: New short requests a second.
-ARRIVALS = 120.0
+REQUESTS_PER_SECOND = 120.0
 
 #: Size in bytes and rate in bytes a second of the long flows.
-LONG_SIZE = 120_000
-LONG_RATE = 10_000.0
+LONG_FLOW_BYTES = 120_000
+LONG_FLOW_RATE = 10_000.0
 
 #: Seconds after which the fabric has noticed that a host died.
 FABRIC_LAG = 1.0
@@ -49,7 +49,7 @@
 SAMPLE_INTERVAL = 0.5
 
 #: Live connections on the least number of which an imbalance means something.
-LEAST_CONNECTIONS = 20
+MIN_SAMPLED_CONNECTIONS = 20
 
 HOSTS = 3
 
@@ -67,17 +67,17 @@
     #: Packets that reached a target of another client account.
     foreign: int = 0
     #: New flows on the leaving target after its grace.
-    late_work: int = 0
+    late_flows: int = 0
     #: Maximum over mean of live connections, averaged over the samples.
     imbalance: float = 0.0
     #: Control bytes a second, the most over the hosts.
     control_bytes: float = 0.0
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """Whether every promise held."""
         broken = self.outcomes["broken"] + self.outcomes["wrong"]
-        return not (broken or self.run_twice or self.foreign or self.late_work)
+        return not (broken or self.run_twice or self.foreign or self.late_flows)
 
     def rows(self) -> list[tuple[str, str]]:
         """Return the report as lines of a table."""
@@ -90,7 +90,7 @@
             ("wrong answers", str(self.outcomes["wrong"])),
             ("run more than once", str(self.run_twice)),
             ("packets at a foreign target", str(self.foreign)),
-            ("new work on the leaving target", str(self.late_work)),
+            ("new work on the leaving target", str(self.late_flows)),
             ("imbalance (max / mean)", f"{self.imbalance:.3f}"),
             ("control bytes/s, busiest host", f"{self.control_bytes:.0f}"),
         ]
@@ -104,10 +104,10 @@
     operator: Operator
     accounts: tuple[Account, ...]
     #: Called with a line of progress.
-    say: Callable[[str], None]
+    report_progress: Callable[[str], None]
     started_at: float = 0.0
     sessions: list[CallerSession] = field(default_factory=list)
-    samples: list[float] = field(default_factory=list)
+    imbalance_samples: list[float] = field(default_factory=list)
     drained: str = ""
     drained_at: float = 0.0
 
@@ -117,11 +117,11 @@
         for account in self.accounts:
             self.open_long_flows(account)
         async with anyio.create_task_group() as group:
-            group.start_soon(self.arrive)
-            group.start_soon(self.sample)
-            group.start_soon(self.fail)
-        await self.settle()
-        return self.judge()
+            group.start_soon(self.generate_requests)
+            group.start_soon(self.sample_imbalance)
+            group.start_soon(self.inject_failures)
+        await self.wait_for_sessions()
+        return self.build_report()
 
     def elapsed(self) -> float:
         """Return seconds since the start."""
@@ -132,14 +132,16 @@
         address = account.addresses[0]
         for kind in (RequestKind.UPLOAD, RequestKind.PREVIEW):
             name = f"{account.account_id}-long-{kind.value.lower()}"
-            self.open(address, Request(name, kind, LONG_SIZE, LONG_RATE))
-        self.say(f"a long upload and a long preview of {account.account_id} begin")
+            self.open(address, Request(name, kind, LONG_FLOW_BYTES, LONG_FLOW_RATE))
+        self.report_progress(
+            f"a long upload and a long preview of {account.account_id} begin"
+        )
 
     def open(self, address: ServiceAddress, request: Request) -> None:
         """Start a request."""
         self.sessions.append(self.system.caller.open(address, request))
 
-    async def arrive(self) -> None:
+    async def generate_requests(self) -> None:
         """Let short requests of every kind arrive."""
         rng = self.system.rng
         while self.elapsed() < TRAFFIC_SECONDS:
@@ -148,9 +150,9 @@
             name = f"request-{len(self.sessions)}"
             size = rng.randint(2_000, 12_000)
             self.open(account.addresses[0], Request(name, kind, size, 8_000.0))
-            await anyio.sleep(rng.expovariate(ARRIVALS))
+            await anyio.sleep(rng.expovariate(REQUESTS_PER_SECOND))
 
-    async def sample(self) -> None:
+    async def sample_imbalance(self) -> None:
         """Note the imbalance from time to time."""
         while self.elapsed() < TRAFFIC_SECONDS:
             await anyio.sleep(SAMPLE_INTERVAL)
@@ -164,10 +166,10 @@
             for target in account.targets
             if target.target_id != self.drained
         ]
-        if sum(counts) >= LEAST_CONNECTIONS:
-            self.samples.append(max(counts) * len(counts) / sum(counts))
+        if sum(counts) >= MIN_SAMPLED_CONNECTIONS:
+            self.imbalance_samples.append(max(counts) * len(counts) / sum(counts))
 
-    async def fail(self) -> None:
+    async def inject_failures(self) -> None:
         """Drain a target, stop a host and kill another, one after the other."""
         await anyio.sleep(3.0)
         await self.drain_target()
@@ -185,12 +187,14 @@
         )
         await self.operator.drain(account.account_id, busiest.target_id)
         self.drained, self.drained_at = busiest.target_id, anyio.current_time()
-        self.say(f"target {busiest.target_id} drains while streams run on it")
+        self.report_progress(
+            f"target {busiest.target_id} drains while streams run on it"
+        )
 
     async def leave_host(self, host_id: str) -> None:
         """Stop a host gracefully."""
         daemon = self.system.hosts[host_id]
-        self.say(f"{host_id} leaves")
+        self.report_progress(f"{host_id} leaves")
         daemon.leave()
         await anyio.sleep(FABRIC_LAG)
         self.system.fabric.hosts.remove(daemon.settings.host.tunnel)
@@ -198,19 +202,19 @@
     async def kill_host(self, host_id: str) -> None:
         """Lose a host without warning."""
         daemon = self.system.hosts[host_id]
-        self.say(f"{host_id} dies")
+        self.report_progress(f"{host_id} dies")
         self.system.scopes[host_id].cancel()
         await anyio.sleep(FABRIC_LAG)
         self.system.fabric.hosts.remove(daemon.settings.host.tunnel)
 
-    async def settle(self) -> None:
+    async def wait_for_sessions(self) -> None:
         """Wait for the last requests."""
-        self.say("no new requests; the last ones end")
-        with anyio.move_on_after(SETTLE_SECONDS):
+        self.report_progress("no new requests; the last ones end")
+        with anyio.move_on_after(FINISH_TIMEOUT_SECONDS):
             while any(session.outcome is None for session in self.sessions):
                 await anyio.sleep(0.1)
 
-    def judge(self) -> Report:
+    def build_report(self) -> Report:
         """Compare what happened with the promises."""
         report = Report()
         for session in self.sessions:
@@ -222,13 +226,13 @@
         grace = self.drained_at + DRAIN_GRACE
         if self.drained:
             accepted = self.system.targets[self.drained].stack.accepted_at
-            report.late_work = sum(at > grace for at in accepted)
-        if self.samples:
-            report.imbalance = sum(self.samples) / len(self.samples)
-        report.control_bytes = self.busiest_control()
+            report.late_flows = sum(at > grace for at in accepted)
+        if self.imbalance_samples:
+            report.imbalance = sum(self.imbalance_samples) / len(self.imbalance_samples)
+        report.control_bytes = self.max_control_rate()
         return report
 
-    def busiest_control(self) -> float:
+    def max_control_rate(self) -> float:
         """Return the control bytes a second of the host that sent most."""
         sent = [
             daemon.core.tables.counters["control.bytes_sent"]
@@ -237,14 +241,14 @@
         return max(sent) / self.elapsed()
 
 
-async def demonstrate(seed: int, say: Callable[[str], None]) -> Report:
+async def demonstrate(seed: int, report_progress: Callable[[str], None]) -> Report:
     """Run the whole system once on loopback.
 
     Parameters
     ----------
     seed : int
         Seed of arrivals, spray and sequence numbers.
-    say : callable
+    report_progress : callable
         Called with each line of progress.
     """
     async with anyio.create_task_group() as group:
@@ -259,8 +263,8 @@
             await operator.set_up(system.tunnel_port)
             snapshot = await store.read_snapshot()
             await start_system(system, snapshot, store, url)
-            say(f"{HOSTS} hosts and {len(system.targets)} targets run")
-            run = Demonstration(system, operator, snapshot.accounts, say)
+            report_progress(f"{HOSTS} hosts and {len(system.targets)} targets run")
+            run = Demonstration(system, operator, snapshot.accounts, report_progress)
             report = await run.run()
         group.cancel_scope.cancel()
     return report
--- a/citronspring/emulator/callers.py
+++ b/citronspring/emulator/callers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from citronspring.flags import ACK, FIN, RST, SYN
+from citronspring.tcp_flags import ACK, FIN, RST, SYN
 from citronspring.tokens.entities import Packet
 
 if TYPE_CHECKING:
--- a/citronspring/emulator/checker.py
+++ b/citronspring/emulator/checker.py
@@ -9,7 +9,7 @@
 from citronspring.emulator.callers import Request
 from citronspring.emulator.network import CALM_LOSS
 from citronspring.emulator.zones import ZoneJudge
-from citronspring.flags import SYN
+from citronspring.tcp_flags import SYN
 from citronspring.tokens.messages import ResetReason
 
 if TYPE_CHECKING:
--- a/citronspring/emulator/hosts.py
+++ b/citronspring/emulator/hosts.py
@@ -12,8 +12,8 @@
 from citronspring.emulator.network import CALLERS
 from citronspring.emulator.targets import Reply
 from citronspring.endpoints import Endpoint
-from citronspring.flags import RST
 from citronspring.rendezvous import seed_of
+from citronspring.tcp_flags import RST
 from citronspring.tokens.balancer import TokenBalancer
 from citronspring.tokens.copies import decode_copy
 from citronspring.tokens.election import CALL_TIMEOUT, claim_delay
--- a/citronspring/emulator/targets.py
+++ b/citronspring/emulator/targets.py
@@ -8,7 +8,7 @@
 
 from citronspring.emulator.network import CALLERS
 from citronspring.endpoints import Endpoint
-from citronspring.flags import ACK, FIN, RST, SYN
+from citronspring.tcp_flags import ACK, FIN, RST, SYN
 from citronspring.tokens.entries import Target
 
 if TYPE_CHECKING:
--- a/citronspring/emulator/zones.py
+++ b/citronspring/emulator/zones.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from citronspring.events import ZONE_DRAIN_CHANGED
-from citronspring.flags import SYN
+from citronspring.tcp_flags import SYN
 
 if TYPE_CHECKING:
     from citronspring.emulator.checker import Checker
--- a/citronspring/experiments/faults.py
+++ b/citronspring/experiments/faults.py
@@ -12,7 +12,6 @@
 from citronspring.experiments.history import ChangeRefused, Disturbed
 from citronspring.experiments.scenario import FaultKind
 from citronspring.experiments.workload import account_of
-from citronspring.flags import ACK
 from citronspring.messages import LeaveRequested
 from citronspring.standins.system import (
     ACCOUNT_SIZES,
@@ -20,6 +19,7 @@
     account_parameters,
 )
 from citronspring.standins.tcp import Segment, State
+from citronspring.tcp_flags import ACK
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
--- a/citronspring/http_request.py
+++ b/citronspring/http_request.py
@@ -28,7 +28,7 @@
 
 
 @record(eq=True)
-class HttpAnswer:
+class HttpResponse:
     """What came back of a request."""
 
     #: Status, 0 if there was no answer that can be used.
--- a/citronspring/packets.py
+++ b/citronspring/packets.py
@@ -15,8 +15,8 @@
 
 from citronspring.entities import Endpoint, FlowKey
 from citronspring.errors import MalformedPacketError
-from citronspring.flags import ACK, RST, SYN
 from citronspring.messages import Packet, RelayKind
+from citronspring.tcp_flags import ACK, RST, SYN
 
 #: Largest datagram a tunnel socket takes.
 MAX_DATAGRAM = 65535
@@ -30,7 +30,7 @@
 GUE_HEADER = bytes([0, PROTOCOL_IPV4, 0, 0])
 GUE_HEADER_LENGTH = 4
 #: Header length field counts words of four bytes after the first.
-RELAY_WORDS = 4
+RELAY_EXTENSION_WORDS = 4
 RELAY_HEADER = struct.Struct(">BBHB3x4sH4sH")
 RELAY_HEADER_LENGTH = RELAY_HEADER.size
 
@@ -43,7 +43,7 @@
 #: What flow keys of each protocol begin with.
 TCP_PREFIX = bytes([PROTOCOL_TCP])
 UDP_PREFIX = bytes([PROTOCOL_UDP])
-PREFIXES = {PROTOCOL_TCP: TCP_PREFIX, PROTOCOL_UDP: UDP_PREFIX}
+FLOW_KEY_PREFIXES = {PROTOCOL_TCP: TCP_PREFIX, PROTOCOL_UDP: UDP_PREFIX}
 TCP_HEADER_LENGTH = 20
 UDP_HEADER_LENGTH = 8
 ICMP_HEADER_LENGTH = 8
@@ -52,7 +52,7 @@
 FRAGMENT_MASK = 0x3FFF
 
 
-def malformed(kind: str) -> MalformedPacketError:
+def malformed_packet(kind: str) -> MalformedPacketError:
     """Return the error for a packet that is dropped and counted under a kind."""
     return MalformedPacketError(kind, "the sender must send whole IPv4 TCP or UDP")
 
@@ -86,8 +86,8 @@
     if datagram.startswith(GUE_HEADER):
         return datagram[GUE_HEADER_LENGTH:]
     if len(datagram) < GUE_HEADER_LENGTH:
-        raise malformed("truncated")
-    raise malformed("tunnel-header")
+        raise malformed_packet("truncated")
+    raise malformed_packet("tunnel-header")
 
 
 def decode_packet(data: bytes, from_caller: bool) -> Packet:
@@ -102,27 +102,27 @@
         With the kind under which the packet is counted.
     """
     if len(data) < IPV4_HEADER_LENGTH:
-        raise malformed("truncated")
+        raise malformed_packet("truncated")
     first, total, fragment, protocol, source, destination = IPV4_HEADER.unpack_from(
         data
     )
     header = (first & 0x0F) * 4
     if first >> 4 != 4 or header < IPV4_HEADER_LENGTH:
-        raise malformed("ip-header")
+        raise malformed_packet("ip-header")
     if total > len(data) or total < header + UDP_HEADER_LENGTH:
-        raise malformed("truncated")
+        raise malformed_packet("truncated")
     if fragment & FRAGMENT_MASK:
-        raise malformed("fragment")
+        raise malformed_packet("fragment")
     if protocol == PROTOCOL_TCP:
         return decode_tcp(data[:total], header, source, destination, from_caller)
     if protocol == PROTOCOL_UDP:
         return decode_udp(data[:total], header, source, destination, from_caller)
     if protocol == PROTOCOL_ICMP:
         return decode_icmp(data[:total], header, from_caller)
-    raise malformed("protocol")
+    raise malformed_packet("protocol")
 
 
-def key_of(
+def make_flow_key(
     prefix: bytes,
     source: bytes,
     source_port: bytes,
@@ -145,15 +145,15 @@
 ) -> Packet:
     """Read a TCP segment."""
     if len(data) < header + TCP_HEADER_LENGTH:
-        raise malformed("truncated")
+        raise malformed_packet("truncated")
     sport, dport, seq, ack, offset, flags = TCP_HEADER.unpack_from(data, header)
     start = header + (offset >> 4) * 4
     if start < header + TCP_HEADER_LENGTH or start > len(data):
-        raise malformed("tcp-header")
-    flow = key_of(TCP_PREFIX, source, sport, destination, dport, from_caller)
+        raise malformed_packet("tcp-header")
+    flow = make_flow_key(TCP_PREFIX, source, sport, destination, dport, from_caller)
     length = len(data) - start
     if flags & SYN and length and from_caller:
-        data = without_payload(data, start)
+        data = strip_payload(data, start)
         length = 0
     return Packet(flow, from_caller, flags, seq, ack, length, data)
 
@@ -163,7 +163,7 @@
 ) -> Packet:
     """Read a UDP datagram."""
     sport, dport = PORTS.unpack_from(data, header)
-    flow = key_of(UDP_PREFIX, source, sport, destination, dport, from_caller)
+    flow = make_flow_key(UDP_PREFIX, source, sport, destination, dport, from_caller)
     length = len(data) - header - UDP_HEADER_LENGTH
     return Packet(flow, from_caller, 0, 0, 0, length, data)
 
@@ -172,21 +172,21 @@
     """Read an ICMP destination unreachable, which follows the flow it names."""
     inner = header + ICMP_HEADER_LENGTH
     if data[header] != ICMP_UNREACHABLE:
-        raise malformed("icmp")
+        raise malformed_packet("icmp")
     if len(data) < inner + IPV4_HEADER_LENGTH:
-        raise malformed("truncated")
+        raise malformed_packet("truncated")
     first, _, _, protocol, source, destination = IPV4_HEADER.unpack_from(data, inner)
     ports_at = inner + (first & 0x0F) * 4
-    if len(data) < ports_at + PORTS.size or protocol not in PREFIXES:
-        raise malformed("icmp")
+    if len(data) < ports_at + PORTS.size or protocol not in FLOW_KEY_PREFIXES:
+        raise malformed_packet("icmp")
     sport, dport = PORTS.unpack_from(data, ports_at)
-    prefix = PREFIXES[protocol]
+    prefix = FLOW_KEY_PREFIXES[protocol]
     # The error quotes a packet that went the other way.
-    flow = key_of(prefix, source, sport, destination, dport, not from_caller)
+    flow = make_flow_key(prefix, source, sport, destination, dport, not from_caller)
     return Packet(flow, from_caller, 0, 0, 0, 0, data, unreachable=True)
 
 
-def without_payload(data: bytes, start: int) -> bytes:
+def strip_payload(data: bytes, start: int) -> bytes:
     """Return a TCP segment cut off after its header, with checksums renewed."""
     packet = dpkt.ip.IP(data[:start])
     packet.len = start
@@ -199,7 +199,7 @@
     flow: FlowKey, from_caller: bool, flags: int, seq: int, ack: int, payload: bytes
 ) -> bytes:
     """Build an IPv4 TCP segment of a flow."""
-    service, service_port, caller, caller_port = split_key(flow)
+    service, service_port, caller, caller_port = split_flow_key(flow)
     segment = dpkt.tcp.TCP(seq=seq, ack=ack, flags=flags, win=65535, data=payload)
     source, destination = (caller, service) if from_caller else (service, caller)
     ports = (caller_port, service_port) if from_caller else (service_port, caller_port)
@@ -209,7 +209,7 @@
 
 def encode_udp(flow: FlowKey, from_caller: bool, payload: bytes) -> bytes:
     """Build an IPv4 UDP datagram of a flow."""
-    service, service_port, caller, caller_port = split_key(flow)
+    service, service_port, caller, caller_port = split_flow_key(flow)
     datagram = dpkt.udp.UDP(data=payload)
     datagram.ulen = UDP_HEADER_LENGTH + len(payload)
     source, destination = (caller, service) if from_caller else (service, caller)
@@ -227,7 +227,7 @@
     return bytes(packet)
 
 
-def split_key(flow: FlowKey) -> tuple[bytes, int, bytes, int]:
+def split_flow_key(flow: FlowKey) -> tuple[bytes, int, bytes, int]:
     """Return service address and port, caller address and port of an IPv4 key."""
     service_port = int.from_bytes(flow[5:7], "big")
     caller_port = int.from_bytes(flow[11:13], "big")
@@ -249,7 +249,7 @@
     body = dpkt.icmp.ICMP(
         type=ICMP_UNREACHABLE, code=ICMP_ADMIN_PROHIBITED, data=unreachable
     )
-    service, _, caller, _ = split_key(packet.flow)
+    service, _, caller, _ = split_flow_key(packet.flow)
     return build_ip(PROTOCOL_ICMP, service, caller, body)
 
 
@@ -272,7 +272,7 @@
     protocol = PROTOCOL_NONE if frame.packet is None else PROTOCOL_IPV4
     from_caller = 1 if frame.packet is None or frame.packet.from_caller else 0
     header = RELAY_HEADER.pack(
-        RELAY_WORDS + 1,
+        RELAY_EXTENSION_WORDS + 1,
         protocol,
         0,
         frame.kind | from_caller << 7,
@@ -292,14 +292,14 @@
         With the kind under which the datagram is counted.
     """
     if len(datagram) < RELAY_HEADER_LENGTH:
-        raise malformed("truncated")
+        raise malformed_packet("truncated")
     words, protocol, _, bits, *endpoints = RELAY_HEADER.unpack_from(datagram)
-    if words != RELAY_WORDS + 1:
-        raise malformed("relay-header")
+    if words != RELAY_EXTENSION_WORDS + 1:
+        raise malformed_packet("relay-header")
     try:
         kind = RelayKind(bits & 0x7F)
     except ValueError:
-        raise malformed("relay-kind") from None
+        raise malformed_packet("relay-kind") from None
     source = unpack_endpoint(*endpoints[:2])
     target = unpack_endpoint(*endpoints[2:])
     body = datagram[RELAY_HEADER_LENGTH:]
@@ -307,5 +307,5 @@
         packet = decode_packet(body, bool(bits >> 7))
         return RelayFrame(kind, packet.flow, packet, source, target)
     if protocol != PROTOCOL_NONE or len(body) not in (13, 37):
-        raise malformed("relay-body")
+        raise malformed_packet("relay-body")
     return RelayFrame(kind, FlowKey(body), None, source, target)
--- a/citronspring/platform/packets.py
+++ b/citronspring/platform/packets.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from citronspring.errors import MalformedPacketError
-from citronspring.flags import ACK, FIN, RST, SYN
 from citronspring.light_sockets import inet_ntoa
 from citronspring.light_stdlib import Struct
+from citronspring.tcp_flags import ACK, FIN, RST, SYN
 from citronspring.tokens.entities import PORT_BITS, Packet
 
 #: seq, ack, flags, echo, dport, sport, src, dst, sum, len. The fourth, ``echo``, is
--- a/citronspring/serving.py
+++ b/citronspring/serving.py
@@ -28,7 +28,7 @@
 
 
 #: Seconds that open requests get when the server stops.
-SHUTDOWN_SECONDS = 1
+SHUTDOWN_GRACE_SECONDS = 1
 
 
 #: Connections at once; beyond it a client gets 503. Each takes memory and a file
@@ -60,7 +60,7 @@
         await super().shutdown(sockets=sockets)
 
 
-def stop_nothing() -> None:
+def do_nothing() -> None:
     """Stand for an application in which nothing waits for long."""
 
 
@@ -69,7 +69,7 @@
     endpoint: Endpoint,
     tls: TlsFiles | None = None,
     *,
-    stop: Callable[[], None] = stop_nothing,
+    stop: Callable[[], None] = do_nothing,
     task_status: TaskStatus[Endpoint] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Serve an ASGI application until cancelled.
@@ -100,14 +100,14 @@
         log_config=None,
         access_log=False,
         limit_concurrency=MAX_CONNECTIONS,
-        timeout_graceful_shutdown=SHUTDOWN_SECONDS,
+        timeout_graceful_shutdown=SHUTDOWN_GRACE_SECONDS,
         ssl_certfile=tls.certificate if tls else None,
         ssl_keyfile=tls.key if tls else None,
     )
     server = ApplicationServer(config, stop)
     with listener:
         async with anyio.create_task_group() as group:
-            group.start_soon(run_shielded, server, listener)
+            group.start_soon(serve_shielded, server, listener)
             try:
                 await server.ready.wait()
                 task_status.started(Endpoint(ip, port))
@@ -116,7 +116,7 @@
                 server.should_exit = True
 
 
-async def run_shielded(server: ApplicationServer, listener: socket.socket) -> None:
+async def serve_shielded(server: ApplicationServer, listener: socket.socket) -> None:
     """Run a server that ends by ``should_exit`` alone.
 
     Cancelled in its main loop, it would leave its connections open.
@@ -134,12 +134,12 @@
         listener.bind((endpoint.ip, endpoint.port))
     except OSError as error:
         listener.close()
-        raise not_bound(endpoint, error) from None
+        raise bind_error(endpoint, error) from None
     listener.setblocking(False)
     return listener
 
 
-def not_bound(endpoint: Endpoint, error: OSError) -> SettingsError:
+def bind_error(endpoint: Endpoint, error: OSError) -> SettingsError:
     """Make the error of an address that this process cannot have."""
     remedy = "free the address, or change the settings"
     return SettingsError(f"cannot listen on {endpoint}: {error.strerror}", remedy)
--- a/citronspring/standins/network.py
+++ b/citronspring/standins/network.py
@@ -14,7 +14,6 @@
 from typing import TYPE_CHECKING
 
 from citronspring.entities import Protocol
-from citronspring.flags import ACK, RST
 from citronspring.messages import (
     ControlReceived,
     Drop,
@@ -31,6 +30,7 @@
 from citronspring.standins.datagrams import Datagram, DatagramCaller
 from citronspring.standins.stacks import CallerStack, TargetStack
 from citronspring.standins.tcp import Segment
+from citronspring.tcp_flags import ACK, RST
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/citronspring/standins/stacks.py
+++ b/citronspring/standins/stacks.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from citronspring.flags import ACK, RST, SYN
 from citronspring.standins.datagrams import DatagramServer
 from citronspring.standins.service import CallerSession, ServerSession
 from citronspring.standins.tcp import Connection, Segment, State, reset_for
+from citronspring.tcp_flags import ACK, RST, SYN
 
 if TYPE_CHECKING:
     import random
--- a/citronspring/standins/tcp.py
+++ b/citronspring/standins/tcp.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from citronspring.flags import ACK, FIN, RST, SYN
+from citronspring.tcp_flags import ACK, FIN, RST, SYN
 
 MASK = 0xFFFFFFFF
 HALF = 0x80000000
--- a/citronspring/systems/answers.py
+++ b/citronspring/systems/answers.py
@@ -4,7 +4,6 @@
 
 from typing import TYPE_CHECKING
 
-from citronspring.flags import FIN, RST, SYN
 from citronspring.messages import Drop, DropReason, SendToCaller
 from citronspring.systems.binding import (
     FIN_FROM_TARGET,
@@ -25,6 +24,7 @@
 from citronspring.systems.health import note_answer
 from citronspring.systems.openings import handle_datagram_refused, handle_opening_reset
 from citronspring.tables import FlowState
+from citronspring.tcp_flags import FIN, RST, SYN
 
 if TYPE_CHECKING:
     from citronspring.messages import Action, Packet
--- a/citronspring/systems/flow_search.py
+++ b/citronspring/systems/flow_search.py
@@ -9,7 +9,6 @@
 
 from typing import TYPE_CHECKING
 
-from citronspring.flags import ACK, RST, SYN
 from citronspring.messages import (
     Drop,
     DropReason,
@@ -22,6 +21,7 @@
 from citronspring.systems.idle import activate
 from citronspring.systems.placement import possible_targets
 from citronspring.tables import SearchRow
+from citronspring.tcp_flags import ACK, RST, SYN
 
 if TYPE_CHECKING:
     from citronspring.entities import FlowKey
--- a/citronspring/systems/hints.py
+++ b/citronspring/systems/hints.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from citronspring.flags import FIN, RST, SYN
 from citronspring.messages import Relay, RelayKind, SendToCaller, SendToTarget
 from citronspring.systems.services import target_of
 from citronspring.tables import FlowState, HintRow
+from citronspring.tcp_flags import FIN, RST, SYN
 
 if TYPE_CHECKING:
     from citronspring.messages import Action, Packet, RelayReceived
--- a/citronspring/systems/relays.py
+++ b/citronspring/systems/relays.py
@@ -4,7 +4,6 @@
 
 from typing import TYPE_CHECKING
 
-from citronspring.flags import SYN
 from citronspring.messages import Drop, DropReason, Relay, RelayKind, SendToTarget
 from citronspring.systems.binding import (
     COUNTED_STATES,
@@ -16,6 +15,7 @@
 )
 from citronspring.systems.services import target_of
 from citronspring.tables import FlowState
+from citronspring.tcp_flags import SYN
 
 if TYPE_CHECKING:
     from citronspring.entities import FlowKey
--- a/citronspring/systems/routing.py
+++ b/citronspring/systems/routing.py
@@ -4,7 +4,6 @@
 
 from typing import TYPE_CHECKING
 
-from citronspring.flags import ACK, FIN, RST, SYN
 from citronspring.messages import (
     Drop,
     DropReason,
@@ -51,6 +50,7 @@
 )
 from citronspring.systems.services import account_of, is_retired, target_of
 from citronspring.tables import FlowState
+from citronspring.tcp_flags import ACK, FIN, RST, SYN
 
 if TYPE_CHECKING:
     from citronspring.messages import Action, Packet, PacketReceived, RelayReceived
--- a/citronspring/tokens/entities.py
+++ b/citronspring/tokens/entities.py
@@ -71,7 +71,7 @@
     flow: bytes
     #: Key of the route, see `route_key`.
     route: int
-    #: See `citronspring.flags`.
+    #: See `citronspring.tcp_flags`.
     flags: int
     #: Names the target of the flow; 0 on an opening.
     token: int
--- a/citronspring/tokens/forwarding.py
+++ b/citronspring/tokens/forwarding.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from citronspring.events import FLOW_RESET
-from citronspring.flags import FIN, RST, SYN
 from citronspring.light_stdlib import INFINITY, TYPE_CHECKING
+from citronspring.tcp_flags import FIN, RST, SYN
 from citronspring.tokens.admission import note_answer_size, note_time_to_answer
 from citronspring.tokens.evidence import (
     certainly_gone,
--- a/soak/run.py
+++ b/soak/run.py
@@ -18,13 +18,13 @@
 from citronspring.emulator.store import EmulatedStore
 from citronspring.emulator.targets import EmulatedTarget, Reply
 from citronspring.emulator.world import DEADLINES, ORDERS, STREAMS, ZONES
-from citronspring.flags import RST, SYN
 from citronspring.platform.packets import (
     HEADER,
     INCARNATION,
     WIRE_FLAGS,
     decode_packet,
 )
+from citronspring.tcp_flags import RST, SYN
 from soak.clock import RealClock
 from soak.faults import FAULTS, draw_fault
 from soak.hosts import HostProcess, loopback_net
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -56,7 +56,7 @@
     )
 
 
-class FixedSource:
+class StaticConfiguration:
     """A configuration that never changes, or a platform that is down."""
 
     def __init__(self, snapshot: Snapshot | None) -> None:
--- a/tests/test_admin/hosts.py
+++ b/tests/test_admin/hosts.py
@@ -72,7 +72,7 @@
 
 
 @dataclass
-class Bench:
+class ApiHarness:
     """One host's API over a platform in memory."""
 
     host: FakeHost
--- a/tests/test_admin/test_access.py
+++ b/tests/test_admin/test_access.py
@@ -19,7 +19,7 @@
 from tests.test_admin.hosts import (
     OPERATE_TOKEN,
     READ_TOKEN,
-    Bench,
+    ApiHarness,
     assert_problem,
     make_settings,
     put_examples,
@@ -30,28 +30,28 @@
 
 
 @pytest.fixture
-def bench(tmp_path):
-    return Bench.make(make_settings(two_tokens(tmp_path)))
+def harness(tmp_path):
+    return ApiHarness.make(make_settings(two_tokens(tmp_path)))
 
 
 @pytest.mark.parametrize("operation", OPERATIONS, ids=lambda item: item.path)
-async def test_every_operation_needs_a_token_and_its_role(bench, operation):
+async def test_every_operation_needs_a_token_and_its_role(harness, operation):
     path = operation.path.replace("{", "").replace("}", "")
     for token in (None, "wrong", READ_TOKEN[:-1], "é" * 20):
-        async with bench.client() as client:
+        async with harness.client() as client:
             headers = {"Authorization": f"Bearer {token}".encode("latin-1")}
             answer = await client.request(
                 operation.method, path, headers=headers if token else {}
             )
             assert_problem(answer, 401, "unauthorized")
             assert answer.headers["www-authenticate"] == "Bearer"
-    async with bench.client(READ_TOKEN) as client:
+    async with harness.client(READ_TOKEN) as client:
         answer = await client.request(operation.method, path)
         assert (answer.status_code == 403) == (operation.method != "GET")
-    assert bench.host.left == []
+    assert harness.host.left == []
 
 
-async def test_each_token_is_compared_in_constant_time(bench, monkeypatch):
+async def test_each_token_is_compared_in_constant_time(harness, monkeypatch):
     """Someone guesses tokens and times the answers.
 
     A comparison that stops at the first difference, or at the first token that
@@ -63,40 +63,40 @@
         hmac, "compare_digest", lambda a, b: compared.append(b) or compare(a, b)
     )
     for token in (READ_TOKEN, "wrong"):
-        async with bench.client(token) as client:
+        async with harness.client(token) as client:
             await client.get("/v1/status")
     assert len(compared) == 4
 
 
-async def test_host_drain_needs_the_role_and_stops_the_host(bench):
-    async with bench.client(OPERATE_TOKEN) as client:
+async def test_host_drain_needs_the_role_and_stops_the_host(harness):
+    async with harness.client(OPERATE_TOKEN) as client:
         answer = await client.post("/v1/host/drain")
     assert answer.status_code == 202
     assert answer.json() == {"host": "host-0", "seconds_left": 30}
-    assert bench.host.left == [100.0]
+    assert harness.host.left == [100.0]
 
 
-async def test_one_token_beyond_its_rate_does_not_slow_the_other(tmp_path):
+async def test_rate_limit_of_one_token_does_not_affect_another(tmp_path):
     """A script of one operator asks in a loop.
 
     Its token gets 429 with Retry-After, while the other token is still served;
     after the time told the first is served again.
     """
     admin = {"requests_per_second": 1.0, "burst": 2}
-    bench = Bench.make(make_settings(two_tokens(tmp_path), **admin))
-    async with bench.client(READ_TOKEN) as client:
+    harness = ApiHarness.make(make_settings(two_tokens(tmp_path), **admin))
+    async with harness.client(READ_TOKEN) as client:
         for _ in range(3):
             assert (await client.get("/v1/status")).status_code == 200
         answer = await client.get("/v1/status")
         assert_problem(answer, 429, "rate-limited")
-        async with bench.client(OPERATE_TOKEN) as other:
+        async with harness.client(OPERATE_TOKEN) as other:
             assert (await other.get("/v1/status")).status_code == 200
-        bench.host.now += int(answer.headers["retry-after"])
+        harness.host.now += int(answer.headers["retry-after"])
         assert (await client.get("/v1/status")).status_code == 200
 
 
-async def test_large_bodies_are_refused_before_they_are_kept(tmp_path):
-    bench = Bench.make(make_settings(max_body_bytes=1000))
+async def test_large_bodies_are_refused_before_they_are_buffered(tmp_path):
+    harness = ApiHarness.make(make_settings(max_body_bytes=1000))
     received = []
 
     async def chunks():
@@ -104,21 +104,21 @@
             received.append(1)
             yield b" " * 400
 
-    async with bench.client() as client:
+    async with harness.client() as client:
         answer = await client.put("/v1/accounts/a", content=chunks())
     assert_problem(answer, 413, "body-too-large")
     assert len(received) < 10
 
 
-async def test_slow_body_is_given_up(monkeypatch):
-    monkeypatch.setattr("citronspring.admin.bodies.BODY_SECONDS", 0.01)
+async def test_slow_body_times_out(monkeypatch):
+    monkeypatch.setattr("citronspring.admin.bodies.BODY_TIMEOUT_SECONDS", 0.01)
 
     async def chunks():
         yield b"{"
         await anyio.sleep(30)
 
-    bench = Bench.make()
-    async with bench.client() as client:
+    harness = ApiHarness.make()
+    async with harness.client() as client:
         answer = await client.put("/v1/accounts/a", content=chunks())
     assert_problem(answer, 408, "request-timeout")
 
@@ -132,8 +132,8 @@
         b"[]",
     ],
 )
-async def test_what_is_no_json_object_is_malformed(body):
-    async with Bench.make().client() as client:
+async def test_body_that_is_no_json_object_is_malformed(body):
+    async with ApiHarness.make().client() as client:
         headers = {"Content-Type": "application/json"}
         answer = await client.put("/v1/accounts/a", content=body, headers=headers)
         assert_problem(answer, 400, "malformed-request")
@@ -149,23 +149,23 @@
     Without tokens the API would obey, as it trusts whoever reaches loopback. A
     browser always names the page in Origin, so such requests are refused.
     """
-    bench = Bench.make()
-    async with bench.client() as client:
+    harness = ApiHarness.make()
+    async with harness.client() as client:
         headers = {"Origin": "http://elsewhere"}
         answer = await client.post("/v1/host/drain", headers=headers)
     assert_problem(answer, 403, "forbidden")
-    assert bench.host.left == []
+    assert harness.host.left == []
 
 
-async def test_fault_of_the_program_is_a_problem_and_a_log_event(bench, capsys):
+async def test_unexpected_exception_becomes_a_problem_and_a_log_event(harness, capsys):
     """A handler meets an error that nobody foresaw.
 
     The caller gets a problem document without internals, the log has the error,
     and the process, which carries live flows, goes on.
     """
     configure_logs(LogsSection())
-    bench.host.dump = lambda: 1 / 0
-    async with bench.client(READ_TOKEN) as client:
+    harness.host.dump = lambda: 1 / 0
+    async with harness.client(READ_TOKEN) as client:
         answer = await client.get("/v1/dump")
         assert_problem(answer, 500, "internal")
         assert "Zero" not in answer.text
@@ -174,8 +174,8 @@
     assert "ZeroDivisionError" in capsys.readouterr().err
 
 
-async def test_unknown_paths_and_methods_are_problems(bench):
-    async with bench.client(READ_TOKEN) as client:
+async def test_unknown_paths_and_methods_are_problems(harness):
+    async with harness.client(READ_TOKEN) as client:
         assert_problem(await client.get("/v2/accounts"), 404, "not-found")
         answer = await client.delete("/v1/accounts")
         assert_problem(answer, 405, "method-not-allowed")
@@ -190,13 +190,13 @@
         {"file": "operate"},
     ],
 )
-def test_unusable_token_is_told_without_its_value(tmp_path, change, monkeypatch):
+def test_error_for_unusable_token_omits_its_value(tmp_path, change, monkeypatch):
     sections = list(two_tokens(tmp_path))
     (tmp_path / "short").write_text("s3cret")
     monkeypatch.chdir(tmp_path)
     sections[0] |= change
     with pytest.raises(SettingsError) as caught:
-        Bench.make(make_settings(tuple(sections)))
+        ApiHarness.make(make_settings(tuple(sections)))
     assert "reader" in str(caught.value)
     assert "s3cret" not in str(caught.value)
     assert OPERATE_TOKEN not in str(caught.value)
@@ -212,13 +212,15 @@
 KEYS = ("template", "parameters", "change_id", "if_revision", "name", "body", "x")
 OBJECTS = st.dictionaries(st.sampled_from(KEYS), JSON, max_size=4)
 TEMPLATES = st.builds(lambda inner: {"template": inner}, OBJECTS)
-NEAR = st.builds(
+NEARLY_VALID = st.builds(
     lambda parameters: {"template": "stream", "parameters": parameters},
     st.dictionaries(
         st.sampled_from(["addresses", "targets", "connections"]), JSON, max_size=3
     ),
 )
-BODIES = (OBJECTS | TEMPLATES | NEAR).map(lambda item: json.dumps(item).encode())
+BODIES = (OBJECTS | TEMPLATES | NEARLY_VALID).map(
+    lambda item: json.dumps(item).encode()
+)
 RAW = st.binary(max_size=60) | st.sampled_from(
     [b"[" * 100_000, b"9" * 5000, b'{"template": "\\ud800"}', b'{"if_revision": NaN}']
 )
@@ -232,9 +234,9 @@
     suppress_health_check=[HealthCheck.function_scoped_fixture],
 )
 @given(body=BODIES | RAW, operation=st.sampled_from(WRITES), name=st.text(max_size=5))
-def test_any_body_gets_success_or_a_problem_of_the_caller(body, operation, name):
+def test_any_body_gets_success_or_a_4xx_problem(body, operation, name):
     async def send():
-        async with Bench.make().client() as client:
+        async with ApiHarness.make().client() as client:
             await put_examples(client)
             path = operation.path
             for part in ("{name}", "{account}", "{target}"):
--- a/tests/test_admin/test_configuration.py
+++ b/tests/test_admin/test_configuration.py
@@ -8,7 +8,12 @@
 from citronspring.errors import OutcomeUnknownError
 from citronspring.standins.memory import MemoryPlatform
 from tests.conftest import ZONES
-from tests.test_admin.hosts import Bench, assert_problem, put_examples, read_example
+from tests.test_admin.hosts import (
+    ApiHarness,
+    assert_problem,
+    put_examples,
+    read_example,
+)
 
 pytestmark = pytest.mark.anyio
 
@@ -16,7 +21,7 @@
 
 
 async def test_examples_are_put_and_shown_with_their_targets():
-    async with Bench.make().client() as client:
+    async with ApiHarness.make().client() as client:
         last = await put_examples(client)
         listed = (await client.get("/v1/accounts")).json()
         assert [row["targets"] for row in listed["accounts"]] == [7, 3]
@@ -32,7 +37,7 @@
 
 
 async def test_drain_undrain_history_and_delete():
-    async with Bench.make().client() as client:
+    async with ApiHarness.make().client() as client:
         await put_examples(client)
         assert (await client.post(DRAIN)).status_code == 200
         account = (await client.get("/v1/accounts/bundelpers")).json()
@@ -52,13 +57,13 @@
         assert_problem(await client.get(path), 404, "not-found")
 
 
-async def test_second_operator_sees_the_first_ones_change():
+async def test_conflict_shows_the_change_of_the_other_operator():
     """Two operators change one account from the same revision.
 
     Both read revision 2, one drains a target, the other puts new parameters. The
     second put would undo the drain unseen; it gets a conflict that shows it.
     """
-    async with Bench.make().client() as client:
+    async with ApiHarness.make().client() as client:
         await put_examples(client)
         account = (await client.get("/v1/accounts/bundelpers")).json()
         drained = (await client.post(DRAIN)).json()
@@ -70,17 +75,17 @@
         assert problem["changed"] == "nothing"
 
 
-async def test_outage_is_told_with_what_was_changed():
+async def test_outage_response_says_that_nothing_was_changed():
     """The platform is out while an operator puts an account.
 
     The operator gets 503 with Retry-After and "nothing changed", and that is so:
     after the outage the account is as before, and the same change id commits.
     """
-    bench = Bench.make()
-    async with bench.client() as client:
+    harness = ApiHarness.make()
+    async with harness.client() as client:
         await put_examples(client)
         before = (await client.get("/v1/accounts/bundelpers")).json()
-        bench.platform.switches.outage = True
+        harness.platform.switches.outage = True
         body = {"change_id": "2-drain"}
         answer = await client.post(DRAIN, json=body)
         problem = assert_problem(answer, 503, "platform-unavailable")
@@ -90,12 +95,12 @@
         answer = await client.get("/v1/accounts")
         assert_problem(answer, 503, "platform-unavailable")
         assert (await client.get("/v1/status")).status_code == 200
-        bench.platform.switches.outage = False
+        harness.platform.switches.outage = False
         assert (await client.get("/v1/accounts/bundelpers")).json() == before
         assert (await client.post(DRAIN, json=body)).status_code == 200
 
 
-class LosingStore(ConfigurationStore):
+class AnswerLosingStore(ConfigurationStore):
     """Commits, then loses the first answer to one change."""
 
     lost = False
@@ -108,14 +113,14 @@
         return committed
 
 
-async def test_lost_answer_is_told_as_unknown_and_repeating_commits_once():
+async def test_lost_answer_is_reported_as_unknown_and_a_retry_commits_once():
     """The platform takes a drain and its answer is lost.
 
     To say "not accepted" would be a lie: the drain is in force. The operator is
     told that the outcome is unknown, repeats the change id, and it ran once.
     """
-    store = LosingStore.from_platform(MemoryPlatform(), ZONES)
-    async with Bench.make(store=store).client() as client:
+    store = AnswerLosingStore.from_platform(MemoryPlatform(), ZONES)
+    async with ApiHarness.make(store=store).client() as client:
         await put_examples(client)
         answer = await client.post(DRAIN, json={"change_id": "2-lost"})
         problem = assert_problem(answer, 503, "outcome-unknown")
@@ -131,7 +136,7 @@
 
 
 async def test_moving_an_address_names_the_account_that_has_it():
-    async with Bench.make().client() as client:
+    async with ApiHarness.make().client() as client:
         await put_examples(client)
         body = read_example("inzendloket")
         body["parameters"]["addresses"][0]["ip"] = "192.0.2.10"
@@ -140,8 +145,8 @@
         assert "bundelpers" in problem["detail"]
 
 
-async def test_wrong_parameter_is_told_with_its_remedy():
-    async with Bench.make().client() as client:
+async def test_unknown_parameter_is_reported_with_a_remedy():
+    async with ApiHarness.make().client() as client:
         await put_examples(client)
         body = read_example("bundelpers")
         body["parameters"]["conections"] = 1
--- a/tests/test_admin/test_server.py
+++ b/tests/test_admin/test_server.py
@@ -27,7 +27,7 @@
 from citronspring.settings import LogsSection
 from tests.test_admin.hosts import (
     READ_TOKEN,
-    Bench,
+    ApiHarness,
     make_settings,
     put_examples,
     two_tokens,
@@ -84,9 +84,9 @@
     certificate, key = make_certificate(tmp_path)
     admin = {"certificate_file": certificate, "key_file": key}
     settings = with_any_port(make_settings(two_tokens(tmp_path), **admin))
-    bench = Bench.make(settings)
+    harness = ApiHarness.make(settings)
     async with anyio.create_task_group() as group:
-        endpoint = await group.start(serve_administration, bench.host, bench.store)
+        endpoint = await group.start(serve_administration, harness.host, harness.store)
         trusted = ssl.create_default_context(cafile=certificate)
         answer = await get(f"https://{endpoint}/v1/status", trusted)
         assert answer.json()["host"] == "host-0"
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("broken", ["absent", "encrypted", "no PEM"])
-async def test_unusable_certificate_is_told_before_the_start(tmp_path, broken):
+async def test_unusable_certificate_is_reported_before_listening(tmp_path, broken):
     """The certificate of a host cannot be used.
 
     The process would die with a traceback, or ask a terminal that is not there
@@ -110,27 +110,29 @@
     if broken == "no PEM":
         Path(certificate).write_text("no PEM")
     admin = {"certificate_file": certificate, "key_file": key}
-    bench = Bench.make(make_settings(two_tokens(tmp_path), **admin))
+    harness = ApiHarness.make(make_settings(two_tokens(tmp_path), **admin))
     with pytest.raises(SettingsError) as caught:
-        await serve_administration(bench.host, bench.store)
+        await serve_administration(harness.host, harness.store)
     assert "admin.pem" in str(caught.value)
 
 
-async def test_without_a_token_it_listens_on_loopback_and_says_so(capsys, monkeypatch):
+async def test_without_a_token_it_listens_on_loopback_and_logs_a_warning(
+    capsys, monkeypatch
+):
     """The settings name a reachable address and no token.
 
     Anyone in the network could change every account. The API listens on loopback
     in its place, and a warning in the log tells the operator why.
     """
     configure_logs(LogsSection())
-    bench = Bench.make(make_settings(listen="192.0.2.1:1"))
+    harness = ApiHarness.make(make_settings(listen="192.0.2.1:1"))
     served = []
 
     async def serve(application, endpoint, tls, *, task_status):
         served.append(endpoint)
 
     monkeypatch.setattr("citronspring.admin.server.serve_application", serve)
-    await serve_administration(bench.host, bench.store)
+    await serve_administration(harness.host, harness.store)
     structlog.reset_defaults()
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
     assert served == [Endpoint("127.0.0.1", 1)]
@@ -141,32 +143,32 @@
     assert lines[1]["configured"] == "192.0.2.1:1"
 
 
-async def test_tokens_in_clear_text_are_warned_of(capsys, tmp_path, monkeypatch):
+async def test_tokens_in_clear_text_log_a_warning(capsys, tmp_path, monkeypatch):
     configure_logs(LogsSection())
     settings = make_settings(two_tokens(tmp_path), listen="192.0.2.1:1")
-    bench = Bench.make(settings)
+    harness = ApiHarness.make(settings)
 
     async def serve(application, endpoint, tls, *, task_status):
         assert str(endpoint) == "192.0.2.1:1"
 
     monkeypatch.setattr("citronspring.admin.server.serve_application", serve)
-    await serve_administration(bench.host, bench.store)
+    await serve_administration(harness.host, harness.store)
     structlog.reset_defaults()
     assert "admin-clear-text" in capsys.readouterr().err
 
 
 async def test_status_shows_hosts_zones_leaving_and_ejected():
-    bench = Bench.make()
-    tables = bench.host.core.tables
+    harness = ApiHarness.make()
+    tables = harness.host.core.tables
     tables.hosts["host-1"].state = HostState.LEAVING
     tables.hosts["host-1"].revision = 7
     tables.hosts["host-2"].state = HostState.DEAD
-    async with bench.client() as client:
+    async with harness.client() as client:
         await put_examples(client)
-        snapshot = await bench.store.read_snapshot()
-        bench.host.core.receive(SnapshotRead(snapshot), bench.host.now)
+        snapshot = await harness.store.read_snapshot()
+        harness.host.core.receive(SnapshotRead(snapshot), harness.host.now)
         health = tables.targets["bundelpers-1"].writable_health()
-        health.ejected_until = bench.host.now + 4.5
+        health.ejected_until = harness.host.now + 4.5
         status = (await client.get("/v1/status")).json()
         dump = (await client.get("/v1/dump")).json()
         metrics = await client.get("/metrics")
@@ -188,7 +190,7 @@
 
 
 async def test_openapi_and_the_reference_page_name_every_operation():
-    async with Bench.make().client() as client:
+    async with ApiHarness.make().client() as client:
         document = (await client.get("/v1/openapi.json")).json()
     described = {
         (method.upper(), path)
--- a/tests/test_cli/conftest.py
+++ b/tests/test_cli/conftest.py
@@ -11,11 +11,11 @@
 from citronspring.cli.main import main
 from citronspring.entities import Endpoint
 from citronspring.serving import serve_application
-from tests.test_admin.hosts import Bench, make_settings
+from tests.test_admin.hosts import ApiHarness, make_settings
 
 
 @dataclass
-class LosingApplication:
+class AnswerLosingApplication:
     """Runs requests that change something, and loses some of the answers."""
 
     application: object
@@ -35,11 +35,11 @@
 
 
 @dataclass
-class Served:
+class ServedApi:
     """A host's API on a real socket, and the command line against it."""
 
-    bench: Bench
-    losing: LosingApplication
+    harness: ApiHarness
+    losing: AnswerLosingApplication
     url: str
     capsys: pytest.CaptureFixture[str]
 
@@ -59,17 +59,17 @@
 
 @pytest.fixture
 def serve(portal, capsys, monkeypatch):
-    monkeypatch.setattr("citronspring.cli.client.LONGEST_WAIT", 0.01)
+    monkeypatch.setattr("citronspring.cli.client.MAX_RETRY_DELAY", 0.01)
     with ExitStack() as stack:
 
         def start(settings=None):
-            bench = Bench.make(settings or make_settings())
-            losing = LosingApplication(bench.application)
+            harness = ApiHarness.make(settings or make_settings())
+            losing = AnswerLosingApplication(harness.application)
             future, endpoint = portal.start_task(
                 serve_application, losing, Endpoint("127.0.0.1", 0)
             )
             stack.callback(future.cancel)
-            return Served(bench, losing, f"http://{endpoint}", capsys)
+            return ServedApi(harness, losing, f"http://{endpoint}", capsys)
 
         yield start
 
--- a/tests/test_cli/test_commands.py
+++ b/tests/test_cli/test_commands.py
@@ -34,7 +34,7 @@
     return json.loads(out)["history"]
 
 
-def test_an_operators_session(served):
+def test_operator_session_from_put_to_delete(served):
     put_examples(served)
     out, _ = served.run("account", "list")
     assert out.splitlines()[1].split() == ["bundelpers", "stream", "7", "2"]
@@ -57,15 +57,15 @@
     assert err.startswith("citronspring: ")
 
 
-def test_host_commands_take_the_host_itself(served):
+def test_host_commands_take_the_url_as_argument(served):
     assert main(["dump", served.url]) == 0
     assert json.loads(served.capsys.readouterr().out)["host"] == "host-0"
     assert main(["host", "drain", served.url.removeprefix("http://")]) == 0
     assert "host-0 leaves, within 30 s" in served.capsys.readouterr().out
-    assert served.bench.host.left
+    assert served.harness.host.left
 
 
-def test_lost_answer_is_repeated_under_the_same_change_id(served):
+def test_lost_answer_is_retried_with_the_same_change_id(served):
     """A host commits a drain and its answer is lost on the way.
 
     The operator must not see a failure for what is in force, nor may the repeated
@@ -78,7 +78,7 @@
     assert [item["change_id"] for item in history(served)].count(change_id) == 1
 
 
-def test_when_every_answer_is_lost_the_outcome_is_told_as_unknown(served):
+def test_outcome_is_unknown_when_every_answer_is_lost(served):
     """All answers to a drain are lost.
 
     Exit code 8 and the change id tell the operator what is known: perhaps. The
@@ -95,7 +95,7 @@
     assert [item["change_id"] for item in history(served)].count(change_id) == 1
 
 
-def answering(*answers):
+def client_with_answers(*answers):
     """Return a client whose host gives these answers, one after the other."""
     queue = list(answers)
 
@@ -111,30 +111,30 @@
     return AdminClient(("http://host",), client, sleep=lambda seconds: None)
 
 
-def test_a_refusal_after_a_lost_answer_proves_nothing():
+def test_refusal_after_a_lost_answer_leaves_the_outcome_unknown():
     """The first answer to a change is lost, the second says "conflict".
 
     The conflict may come from a view older than the change itself. To report
     "refused" would say "not run" of something that perhaps ran.
     """
-    client = answering(httpx.ReadError("gone"), (409, "conflict"))
+    client = client_with_answers(httpx.ReadError("gone"), (409, "conflict"))
     with pytest.raises(OutcomeUnknownError, match="then refused: conflict"):
         client.change("PUT", "/v1/accounts/a", {}, "1-a")
-    client = answering((409, "conflict"))
+    client = client_with_answers((409, "conflict"))
     with pytest.raises(RemoteError):
         client.change("PUT", "/v1/accounts/a", {}, "1-a")
 
 
-def test_outage_ends_with_nothing_changed(served):
+def test_outage_exits_with_nothing_changed(served):
     put_examples(served)
-    served.bench.platform.switches.outage = True
+    served.harness.platform.switches.outage = True
     _, err = served.run("target", "drain", "bundelpers", "bundelpers-1", code=7)
     assert "changed nothing" in err
-    served.bench.platform.switches.outage = False
+    served.harness.platform.switches.outage = False
     assert len(history(served)) == 1
 
 
-def test_second_operator_gets_the_others_change(served):
+def test_conflict_prints_the_change_of_the_other_operator(served):
     put_examples(served)
     served.run("target", "drain", "bundelpers", "bundelpers-1")
     words = ("account", "put", "bundelpers", BUNDELPERS, "--if_revision=2")
@@ -142,7 +142,7 @@
     assert "target bundelpers-1: leaving" in err
 
 
-def test_the_next_host_is_asked_when_one_is_out(serve, capsys):
+def test_next_host_is_tried_when_one_is_unreachable(serve, capsys):
     second = serve()
     put_examples(second)
     words = ["account", "list", "--host=http://127.0.0.1:1", f"--host={second.url}"]
--- a/tests/test_cli/test_emulate.py
+++ b/tests/test_cli/test_emulate.py
@@ -5,7 +5,7 @@
 from citronspring.cli.main import main
 
 
-def test_plays_seeds_and_writes_a_page(tmp_path, capsys):
+def test_runs_seeds_and_writes_a_report(tmp_path, capsys):
     page = tmp_path / "report.html"
     assert main(["emulate", "--seeds=2", "--first=3", f"--report={page}"]) == 0
     printed = capsys.readouterr().out
@@ -16,6 +16,6 @@
     assert "polyline" in text
 
 
-def test_nothing_to_play_is_an_error(capsys):
+def test_zero_seeds_is_an_error(capsys):
     assert main(["emulate", "--seeds=0"]) != 0
     assert "--seeds" in capsys.readouterr().err
--- a/tests/test_cli/test_errors.py
+++ b/tests/test_cli/test_errors.py
@@ -20,9 +20,9 @@
 from tests.test_admin.hosts import make_settings
 
 PAGE = Path(__file__).parent.parent.parent / "docs" / "reference" / "commands.md"
-NOBODY = "--host=http://127.0.0.1:1"
+UNREACHABLE_HOST = "--host=http://127.0.0.1:1"
 
-WRONG = [
+WRONG_COMMAND_LINES = [
     (["acount", "list"], 2, "did you mean account"),
     (["account"], 2, "add one of put"),
     (["account", "put", "a"], 2, "account put ACCOUNT FILE"),
@@ -40,17 +40,17 @@
     (["account", "put", "a", "date.toml"], 3, "TOML"),
     (["template", "put", "date.json"], 3, "add name"),
     (["status", "--token_file=absent"], 3, "token"),
-    (["status", NOBODY], 7, "another host"),
-    (["account", "delete", "a", NOBODY], 7, "another host"),
+    (["status", UNREACHABLE_HOST], 7, "another host"),
+    (["account", "delete", "a", UNREACHABLE_HOST], 7, "another host"),
 ]
 
 
-@pytest.mark.parametrize(("words", "code", "remedy"), WRONG)
+@pytest.mark.parametrize(("words", "code", "remedy"), WRONG_COMMAND_LINES)
 def test_error_is_one_line_with_a_remedy(
     tmp_path, monkeypatch, capsys, words, code, remedy
 ):
     monkeypatch.chdir(tmp_path)
-    monkeypatch.setattr("citronspring.cli.client.LONGEST_WAIT", 0.01)
+    monkeypatch.setattr("citronspring.cli.client.MAX_RETRY_DELAY", 0.01)
     Path("bad.toml").write_text("a = [")
     Path("bad.json").write_text("{")
     Path("date.toml").write_text("template = 'a'\nparameters = {a = 2026-12-02}")
@@ -87,7 +87,7 @@
     assert f"cannot listen on {address}" in line
 
 
-def test_a_reader_that_leaves_gets_no_complaint():
+def test_closed_output_pipe_ends_quietly():
     """The output goes to a pipe whose reader leaves, as `head` does.
 
     The program would print a traceback, or a second error when Python flushes its
@@ -119,7 +119,7 @@
     assert "target drain" not in out
 
 
-def test_the_page_agrees_with_the_program():
+def test_reference_page_matches_the_commands():
     assert PAGE.read_text() == commands_page()
 
 
@@ -128,11 +128,11 @@
     assert len(kinds) == len(set(kinds))
 
 
-LASTING = ("serve", "standin", "try", "experiment")
-HARMLESS = [item for item in COMMANDS if item.words[0] not in LASTING]
+LONG_RUNNING = ("serve", "standin", "try", "experiment")
+SHORT_RUNNING = [item for item in COMMANDS if item.words[0] not in LONG_RUNNING]
 LINES = st.builds(
-    lambda command, rest: [*command.words, *rest, NOBODY],
-    st.sampled_from(HARMLESS),
+    lambda command, rest: [*command.words, *rest, UNREACHABLE_HOST],
+    st.sampled_from(SHORT_RUNNING),
     st.lists(st.text(max_size=8) | st.sampled_from(["--", "--output=json", "-"])),
 ) | st.lists(st.text(max_size=8), min_size=1, max_size=2).filter(
     lambda words: words[0] not in ("serve", "try")
@@ -146,7 +146,7 @@
     suppress_health_check=[HealthCheck.function_scoped_fixture],
 )
 @given(words=LINES)
-def test_any_line_ends_with_a_documented_code(monkeypatch, capsys, words):
-    monkeypatch.setattr("citronspring.cli.client.LONGEST_WAIT", 0.0)
+def test_any_command_line_ends_with_a_documented_exit_code(monkeypatch, capsys, words):
+    monkeypatch.setattr("citronspring.cli.client.MAX_RETRY_DELAY", 0.0)
     assert main(words) in {item.code for item in EXIT_CODES}
     assert "report it as a fault" not in capsys.readouterr().err
--- a/tests/test_cli/test_serve.py
+++ b/tests/test_cli/test_serve.py
@@ -67,7 +67,7 @@
             await anyio.sleep(0.1)
 
 
-async def test_a_host_is_driven_and_stopped_by_the_command_line(tmp_path):
+async def test_host_is_operated_and_stopped_from_the_command_line(tmp_path):
     """An operator sets up an account, looks, dumps and stops a host.
 
     The host process takes each request beside its packets. The drain ends it by
--- a/tests/test_daemons/test_control.py
+++ b/tests/test_daemons/test_control.py
@@ -20,7 +20,7 @@
 from citronspring.settings import ControlSection
 from citronspring.standins.loopback import Loopback
 from citronspring.tables import Tables
-from tests.conftest import ZONES, FixedSource, make_account
+from tests.conftest import ZONES, StaticConfiguration, make_account
 
 pytestmark = pytest.mark.anyio
 
@@ -51,7 +51,11 @@
     host would drop every packet. It joins by its peers and copies theirs.
     """
     async with anyio.create_task_group() as group:
-        sources = [FixedSource(snapshot), FixedSource(None), FixedSource(None)]
+        sources = [
+            StaticConfiguration(snapshot),
+            StaticConfiguration(None),
+            StaticConfiguration(None),
+        ]
         daemons = await start_hosts(group, sources)
         await wait_until(
             lambda: all(daemon.core.tables.revision == 1 for daemon in daemons)
@@ -71,7 +75,7 @@
     the digest is wrong; a copy of a genuine datagram is counted as replayed.
     """
     async with anyio.create_task_group() as group:
-        sources = [FixedSource(snapshot), FixedSource(snapshot)]
+        sources = [StaticConfiguration(snapshot), StaticConfiguration(snapshot)]
         daemons = await start_hosts(group, sources)
         tables = daemons[0].core.tables
         address = (tables.me.host.control.ip, tables.me.host.control.port)
@@ -94,7 +98,7 @@
         group.cancel_scope.cancel()
 
 
-class ScriptedSource(FixedSource):
+class ScriptedSource(StaticConfiguration):
     """A platform that fails so many times first."""
 
     failures = 2
@@ -102,7 +106,7 @@
     async def read_snapshot(self):
         if self.failures:
             self.failures -= 1
-            await FixedSource(None).read_snapshot()
+            await StaticConfiguration(None).read_snapshot()
         return await super().read_snapshot()
 
 
@@ -147,7 +151,7 @@
     Its answer tells what was, and would let packets that waited through. The core
     sees by the time of the question that it is no proof.
     """
-    core, reader = make_reader(FixedSource(snapshot))
+    core, reader = make_reader(StaticConfiguration(snapshot))
     core.tables.revision = 1
     times = [5.0, 15.0]
     reader.clock = lambda: times[0] if len(times) == 1 else times.pop(0)
@@ -156,7 +160,7 @@
 
 
 async def test_records_that_are_forgotten_are_replaced_by_a_snapshot():
-    class Forgetful(FixedSource):
+    class Forgetful(StaticConfiguration):
         async def read_records(self, after_revision):
             return None
 
@@ -173,7 +177,7 @@
     The zone's reader knew that it had told it. No address could leave an account any
     more, until the next change.
     """
-    source = FixedSource(snapshot)
+    source = StaticConfiguration(snapshot)
     _, reader = make_reader(source)
     monkeypatch.setattr("citronspring.daemons.reader.zone_revision", lambda tables: 7)
     now = 100.0
@@ -209,7 +213,7 @@
     async with anyio.create_task_group() as group:
         ports = set()
         for _ in range(2):
-            [daemon] = await start_hosts(group, [FixedSource(snapshot)])
+            [daemon] = await start_hosts(group, [StaticConfiguration(snapshot)])
             ports.add(daemon.settings.host.tunnel.port)
         assert len(ports) == 2
         group.cancel_scope.cancel()
--- a/tests/test_daemons/test_host.py
+++ b/tests/test_daemons/test_host.py
@@ -10,7 +10,7 @@
 from citronspring.daemons.host import HostDaemon
 from citronspring.standins.loopback import Loopback
 from citronspring.standins.service import Outcome, Request, RequestKind
-from tests.conftest import ZONES, FixedSource
+from tests.conftest import ZONES, StaticConfiguration
 
 pytestmark = pytest.mark.anyio
 
@@ -23,7 +23,7 @@
         sections = system.describe_hosts(3)
         for section in sections:
             settings = system.settings_of(section, sections, "http://127.0.0.1:1")
-            daemon = HostDaemon.from_settings(settings, FixedSource(snapshot))
+            daemon = HostDaemon.from_settings(settings, StaticConfiguration(snapshot))
             await system.add_host(daemon)
         address = snapshot.accounts[0].addresses[0]
         sessions = [
--- a/tests/test_daemons/test_prefetch.py
+++ b/tests/test_daemons/test_prefetch.py
@@ -10,7 +10,7 @@
 from citronspring.daemons.store_calls import StoreCalls
 from citronspring.endpoints import Endpoint
 from citronspring.host_settings import HostSettings
-from citronspring.http_request import HttpAnswer, HttpRequest
+from citronspring.http_request import HttpRequest, HttpResponse
 from citronspring.platform.__main__ import PLATFORM_ADAPTER
 from citronspring.tokens.balancer import TokenBalancer
 from citronspring.tokens.messages import ListEntries
@@ -71,7 +71,7 @@
     ended = []
     client.adopt(first.sock, 101.0, ended.append)
     client.check_deadline(101.5)
-    assert ended == [HttpAnswer(0, b"no answer in time")]
+    assert ended == [HttpResponse(0, b"no answer in time")]
     server.close()
 
 
--- a/tests/test_daemons/test_prober.py
+++ b/tests/test_daemons/test_prober.py
@@ -13,7 +13,7 @@
 from citronspring.entities import Endpoint, Snapshot
 from citronspring.messages import ProbeResult, ProbeTarget
 from citronspring.standins.health_endpoint import HealthEndpoint, serve_health
-from tests.conftest import FixedSource
+from tests.conftest import StaticConfiguration
 from tests.test_daemons.test_control import start_hosts
 from tests.test_systems.driver import with_targets
 
@@ -126,7 +126,7 @@
         account = with_targets(
             snapshot.accounts[0], [replace(first, health=where), *others]
         )
-        source = FixedSource(Snapshot(1, (account,)))
+        source = StaticConfiguration(Snapshot(1, (account,)))
         [daemon] = await start_hosts(group, [source])
         row = daemon.core.tables.targets[first.target_id]
         daemon.application.emit("action", ProbeTarget(first.target_id))
--- a/tests/test_daemons/test_signals.py
+++ b/tests/test_daemons/test_signals.py
@@ -12,7 +12,7 @@
 
 from citronspring.daemons.host import HostDaemon, watch_signals
 from citronspring.standins.loopback import Loopback
-from tests.conftest import ZONES, FixedSource
+from tests.conftest import ZONES, StaticConfiguration
 
 pytestmark = pytest.mark.anyio
 
@@ -27,7 +27,7 @@
         system = Loopback(group, random.Random(1), ZONES)
         (section,) = system.describe_hosts(1)
         settings = system.settings_of(section, [section], "http://127.0.0.1:1")
-        daemon = HostDaemon.from_settings(settings, FixedSource(snapshot))
+        daemon = HostDaemon.from_settings(settings, StaticConfiguration(snapshot))
         await group.start(daemon.run)
         await group.start(watch_signals, daemon)
         os.kill(os.getpid(), signal.SIGUSR1)
--- a/tests/test_experiments/mutants.py
+++ b/tests/test_experiments/mutants.py
@@ -5,7 +5,6 @@
 from citronspring import balancer
 from citronspring.configuration import store
 from citronspring.experiments.scenario import Fault, FaultKind, Scenario
-from citronspring.flags import RST
 from citronspring.messages import Packet, RefusalReason, SendToCaller
 from citronspring.standins.network import Network
 from citronspring.systems import (
@@ -18,6 +17,7 @@
     revisions,
     routing,
 )
+from citronspring.tcp_flags import RST
 
 MUTANTS = {}
 
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -9,7 +9,6 @@
 
 from citronspring.entities import Endpoint, FlowKey
 from citronspring.errors import MalformedPacketError
-from citronspring.flags import ACK, FIN, RST, SYN
 from citronspring.messages import RelayKind
 from citronspring.packets import (
     GUE_HEADER,
@@ -24,6 +23,7 @@
     encode_udp,
 )
 from citronspring.rendezvous import flow_key
+from citronspring.tcp_flags import ACK, FIN, RST, SYN
 
 FLOW = flow_key(6, "192.0.2.1", 443, "198.51.100.7", 40_000)
 DATAGRAM_FLOW = FlowKey(bytes([17]) + FLOW[1:])
@@ -87,7 +87,7 @@
     assert decode_relay(encode_relay(frame)) == frame
 
 
-def decode_anything(data):
+def decode_as_every_kind(data):
     """Decode bytes as every kind of datagram a host receives."""
     for decode in (
         lambda: decode_packet(data, True),
@@ -104,7 +104,7 @@
 @DETERMINISTIC
 @given(st.binary(max_size=120))
 def test_any_bytes_are_a_packet_or_malformed(data):
-    decode_anything(data)
+    decode_as_every_kind(data)
 
 
 def samples():
@@ -123,7 +123,7 @@
 
 @settings(DETERMINISTIC, max_examples=1000)
 @given(st.sampled_from(samples()), st.data())
-def test_damaged_packets_are_a_packet_or_malformed(sample, data):
+def test_corrupted_packets_are_decoded_or_malformed(sample, data):
     """A host goes on whatever arrives at its sockets.
 
     Real packets are cut and some of their bytes replaced, which passes more of the
@@ -135,7 +135,7 @@
         if damaged:
             position = data.draw(st.integers(0, len(damaged) - 1))
             damaged[position] = data.draw(st.integers(0, 255))
-    decode_anything(bytes(damaged))
+    decode_as_every_kind(bytes(damaged))
 
 
 def with_ip(data=None, **fields):
@@ -158,13 +158,13 @@
     ],
     ids=["empty", "version", "gre", "first", "last", "length", "cut"],
 )
-def test_what_is_not_forwarded_has_a_kind(data, kind):
+def test_packet_that_is_not_forwarded_has_a_malformed_kind(data, kind):
     with pytest.raises(MalformedPacketError) as caught:
         decode_packet(data, True)
     assert caught.value.message == kind
 
 
-def test_payload_of_a_syn_is_cut_off():
+def test_payload_of_a_syn_is_stripped():
     """A request that came with its SYN is not run by two targets.
 
     The opening may be retried at another target after the first one took the data.
--- a/tests/test_platform/test_packets.py
+++ b/tests/test_platform/test_packets.py
@@ -9,7 +9,6 @@
 from hypothesis import strategies as st
 
 from citronspring.errors import MalformedPacketError
-from citronspring.flags import ACK, FIN, RST, SYN
 from citronspring.platform.packets import (
     caller_ip,
     decode_packet,
@@ -17,6 +16,7 @@
     encode_reset,
     format_flow,
 )
+from citronspring.tcp_flags import ACK, FIN, RST, SYN
 from citronspring.tokens.entities import route_key
 
 #: An opening from 100.64.0.7:40001 to 198.18.0.1:443.
--- a/tests/test_platform/test_start.py
+++ b/tests/test_platform/test_start.py
@@ -173,12 +173,12 @@
 
     The bundle still holds the fault; run from there, the host would show it again.
     """
-    source = build.root / "citronspring/flags.py"
+    source = build.root / "citronspring/tcp_flags.py"
     source.write_text(source.read_text() + "\nMENDED = True\n")
     code = (
         "import sys; sys.path[0] = ''; "
         "from citronspring.bundles import install_bundle; install_bundle('.'); "
-        "from citronspring.flags import MENDED; print(MENDED)"
+        "from citronspring.tcp_flags import MENDED; print(MENDED)"
     )
     assert build.run("-c", code).stdout == "True\n"
 
--- a/tests/test_systems/driver.py
+++ b/tests/test_systems/driver.py
@@ -5,7 +5,6 @@
 from dataclasses import replace
 
 from citronspring.balancer import Balancer
-from citronspring.flags import ACK, FIN, RST, SYN
 from citronspring.messages import (
     Packet,
     PacketReceived,
@@ -21,6 +20,7 @@
 from citronspring.systems.openings import expire_openings
 from citronspring.systems.ownership import update_owners
 from citronspring.systems.placement import rank_targets
+from citronspring.tcp_flags import ACK, FIN, RST, SYN
 from tests.conftest import make_host
 
 CALLER_SEQ = 1000
--- a/tests/test_systems/test_binding.py
+++ b/tests/test_systems/test_binding.py
@@ -7,12 +7,12 @@
 import pytest
 
 from citronspring.entities import Snapshot
-from citronspring.flags import FIN, RST
 from citronspring.messages import DropReason, RelayKind, RelayReceived, SnapshotRead
 from citronspring.systems.binding import BACKUP_LIFETIME, bind
 from citronspring.systems.flow_search import QUERY_TIMEOUT, expire_searches
 from citronspring.systems.ownership import update_owners
 from citronspring.tables import FlowState
+from citronspring.tcp_flags import FIN, RST
 from tests.test_systems import driver
 
 
--- a/tests/test_systems/test_expiry.py
+++ b/tests/test_systems/test_expiry.py
@@ -10,7 +10,6 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from citronspring.entities import HostState, Snapshot
-from citronspring.flags import ACK, FIN, RST, SYN
 from citronspring.messages import (
     Packet,
     PacketReceived,
@@ -21,6 +20,7 @@
 from citronspring.systems.binding import COUNTED_STATES
 from citronspring.systems.expiry import expire_flows
 from citronspring.tables import RECHECK_INTERVAL, WHEEL_BUCKET_WIDTH, FlowState
+from citronspring.tcp_flags import ACK, FIN, RST, SYN
 from tests.conftest import make_account
 from tests.test_systems import driver
 
--- a/tests/test_systems/test_flow_search.py
+++ b/tests/test_systems/test_flow_search.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from citronspring.entities import Snapshot
-from citronspring.flags import ACK, RST, SYN
 from citronspring.messages import RelayKind, SnapshotRead
 from citronspring.systems.flow_search import PROBE_TIMEOUT, QUERY_TIMEOUT
 from citronspring.systems.placement import PLACEMENT_WINDOW, possible_targets
 from citronspring.tables import FlowState
+from citronspring.tcp_flags import ACK, RST, SYN
 from tests.conftest import make_account
 from tests.test_systems import driver
 
--- a/tests/test_systems/test_openings.py
+++ b/tests/test_systems/test_openings.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from citronspring.flags import ACK, RST, SYN
 from citronspring.messages import (
     DropReason,
     RefusalReason,
@@ -15,6 +14,7 @@
 from citronspring.standins.tcp import Connection, Segment
 from citronspring.systems.binding import TIME_WAIT
 from citronspring.tables import FlowState
+from citronspring.tcp_flags import ACK, RST, SYN
 from tests.test_systems import driver
 
 #: Initial number of a target that another host placed the SYN on.
--- a/tests/test_systems/test_routing.py
+++ b/tests/test_systems/test_routing.py
@@ -8,7 +8,6 @@
 
 from citronspring.balancer import Balancer
 from citronspring.entities import HostState, Protocol, ServiceAddress, Snapshot
-from citronspring.flags import ACK, FIN, RST, SYN
 from citronspring.messages import (
     DropReason,
     Relay,
@@ -19,6 +18,7 @@
 from citronspring.rendezvous import flow_key
 from citronspring.systems import hints
 from citronspring.tables import HostRow
+from citronspring.tcp_flags import ACK, FIN, RST, SYN
 from tests.conftest import make_host
 from tests.test_systems import driver
 
--- a/tests/test_tokens/driver.py
+++ b/tests/test_tokens/driver.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from citronspring.endpoints import Endpoint
-from citronspring.flags import ACK, FIN, SYN
+from citronspring.tcp_flags import ACK, FIN, SYN
 from citronspring.tokens.balancer import TokenBalancer
 from citronspring.tokens.entities import Packet, Route, Share, route_key, token_of
 from citronspring.tokens.entries import Configuration, Removed, Target, Unreadable
--- a/tests/test_tokens/test_admission.py
+++ b/tests/test_tokens/test_admission.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from citronspring.flags import SYN
+from citronspring.tcp_flags import SYN
 from citronspring.tokens.admission import (
     note_answer_size,
     note_time_to_answer,
--- a/tests/test_tokens/test_openings.py
+++ b/tests/test_tokens/test_openings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citronspring.flags import ACK
+from citronspring.tcp_flags import ACK
 from citronspring.tokens.messages import DropReason, Forward, ResetReason
 from tests.test_tokens.driver import (
     STREAMS,
