--- a/benchmarks/tokens.py
+++ b/benchmarks/tokens.py
@@ -65,7 +65,7 @@
         entries.append(
             Target(f"i-{number:x}", number, endpoint, "s", "north", 2, False, 0.0, 1)
         )
-    core.take_answer(ListEntries(), Page(tuple(entries), 1, None), 0.0, 0.0)
+    core.handle_store_answer(ListEntries(), Page(tuple(entries), 1, None), 0.0, 0.0)
     return core
 
 
--- a/citronspring/daemons/follower_server.py
+++ b/citronspring/daemons/follower_server.py
@@ -6,8 +6,8 @@
 from citronspring.daemons.store_calls import COPY_PATH, MILLISECONDS, NEWS_PATH
 from citronspring.events import NEWS_REFUSED
 from citronspring.light_stdlib import TYPE_CHECKING
-from citronspring.tokens.copies import OK
-from citronspring.tokens.news import Poll
+from citronspring.tokens.change_feed import FeedPoll
+from citronspring.tokens.peer_snapshot import OK
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -56,7 +56,7 @@
         self.core = core
         self.clock = clock
         self.write = write
-        self.polls: dict[ServerConnection, Poll] = {}
+        self.polls: dict[ServerConnection, FeedPoll] = {}
         self.server = HttpServer(selector, endpoint, self.answer, MAX_FOLLOWERS, write)
 
     def answer(
@@ -68,7 +68,7 @@
             # Copies to all hosts that start at once would fill the link.
             if self.server.sending:
                 return 503, b"another host is being answered\n"
-            return self.core.copy(now)
+            return self.core.snapshot(now)
         poll = read_poll(path, connection.host, now)
         if poll is None:
             return 404, f"ask for {COPY_PATH} or {NEWS_PATH}\n".encode()
@@ -77,7 +77,7 @@
             self.polls[connection] = poll
         return answer
 
-    def answer_poll(self, poll: Poll, now: float) -> tuple[int, bytes] | None:
+    def answer_poll(self, poll: FeedPoll, now: float) -> tuple[int, bytes] | None:
         """Return the answer to a follower, None while there is nothing to say."""
         answer = self.core.answer_poll(poll, now)
         if answer is not None and answer[0] != OK:
@@ -104,13 +104,13 @@
                 connection.reply(*answer)
 
 
-def read_poll(path: str, host: str, now: float) -> Poll | None:
+def read_poll(path: str, host: str, now: float) -> FeedPoll | None:
     """Return what a follower asks for news by, None if the path is no such question."""
     after, _, wait = path.removeprefix(NEWS_PREFIX).partition(WAIT_PREFIX)
     numbers = is_number(after, REVISION_DIGITS) and is_number(wait, WAIT_DIGITS)
     if not (path.startswith(NEWS_PREFIX) and numbers):
         return None
-    return Poll(int(after), now, now + int(wait) / MILLISECONDS, host)
+    return FeedPoll(int(after), now, now + int(wait) / MILLISECONDS, host)
 
 
 def is_number(text: str, digits: int) -> bool:
--- a/citronspring/daemons/store_calls.py
+++ b/citronspring/daemons/store_calls.py
@@ -6,7 +6,7 @@
 from citronspring.events import CALL_FAILED
 from citronspring.http_request import HttpRequest
 from citronspring.light_stdlib import TYPE_CHECKING
-from citronspring.tokens.copies import decode_copy
+from citronspring.tokens.change_feed import decode_feed
 from citronspring.tokens.election import CALL_TIMEOUT, claim_delay
 from citronspring.tokens.messages import (
     AnswerTooLarge,
@@ -17,7 +17,7 @@
     Refused,
     Unanswered,
 )
-from citronspring.tokens.news import decode_news
+from citronspring.tokens.peer_snapshot import decode_snapshot
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -158,7 +158,7 @@
         """Take what came back of a call, and log it if that is nothing."""
         answer = self.decode(call, found)
         self.log_failure(call, answer, sent_at)
-        self.take_answer(call, answer, sent_at)
+        self.handle_store_answer(call, answer, sent_at)
 
     def log_failure(self, call: StoreCall, answer: StoreAnswer, sent_at: float) -> None:
         """Log a call that brought nothing, with what had come of its answer."""
@@ -204,18 +204,20 @@
             )
         match call:
             case ReadPeer():
-                return decode_copy(found.status, found.body)
+                return decode_snapshot(found.status, found.body)
             case FollowReader():
-                return decode_news(found.status, found.body)
+                return decode_feed(found.status, found.body)
             case _:
                 return self.adapter.decode_answer(
                     call, found.status, found.body, found.headers
                 )
 
-    def take_answer(self, call: StoreCall, answer: StoreAnswer, sent_at: float) -> None:
+    def handle_store_answer(
+        self, call: StoreCall, answer: StoreAnswer, sent_at: float
+    ) -> None:
         """Put in force what came back."""
         now = self.clock()
-        self.perform(self.core.take_answer(call, answer, sent_at, now), now)
+        self.perform(self.core.handle_store_answer(call, answer, sent_at, now), now)
 
     # Who reads for the zone ----------------------------------------------------------
 
@@ -245,7 +247,7 @@
     ) -> None:
         """Take what such a call brought."""
         now = self.clock()
-        actions = self.core.take_election_answer(call, answer, sent_at, now)
+        actions = self.core.handle_election_answer(call, answer, sent_at, now)
         self.perform(actions, now)
 
 
--- a/citronspring/daemons/token_host.py
+++ b/citronspring/daemons/token_host.py
@@ -35,8 +35,8 @@
 from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.tcp_flags import SYN
 from citronspring.tokens.balancer import TokenBalancer
+from citronspring.tokens.change_feed import LINK_SHARE
 from citronspring.tokens.messages import Drop, Forward, Log, ResetCaller, Tell
-from citronspring.tokens.news import LINK_SHARE
 from citronspring.tokens.suspicions import decode_message, encode_message
 from citronspring.tokens.times import ReaderTimes
 
@@ -111,7 +111,7 @@
         self.limit_follower_rate(settings)
         # Until packets are read, the first turn lasts: what then has waited since the
         # start for longer than a pause is too old to be placed.
-        self.core.begin_turn(self.started_at)
+        self.core.begin_iteration(self.started_at)
         self.log = LineLog(1, settings.host_id, adapter.format_flow)
         self.selector = Poller()
         self.packets = self.bind(self.settings.packets)
@@ -143,7 +143,7 @@
 
     def limit_follower_rate(self, settings: HostSettings) -> None:
         """Set what followers may take of the host's link."""
-        self.core.tables.news.rate = LINK_SHARE * settings.link_rate
+        self.core.tables.change_log.rate = LINK_SHARE * settings.link_rate
 
     def bind(self, endpoint: Endpoint) -> Socket:
         """Return a socket that datagrams to an address come to."""
@@ -165,7 +165,7 @@
         """Wait for something to do, and do it: packets first, then timers."""
         sleep = self.sleep_time(boot_clock())
         ready = self.selector.select(sleep)
-        if self.receiving and self.core.begin_turn(boot_clock(), sleep):
+        if self.receiving and self.core.begin_iteration(boot_clock(), sleep):
             # Interrupted by the end of a pause, the wait tells of no event; what has
             # waited must be read before it can count as fresh.
             self.read_packets(EVENT_READ)
@@ -239,7 +239,7 @@
         if packet.flags & SYN:
             # The process may have stood still within this turn, too.
             now = boot_clock()
-            self.core.begin_turn(now)
+            self.core.begin_iteration(now)
         self.perform(self.core.receive(packet, now), now)
 
     def perform(self, actions: list[Action], now: float) -> None:
@@ -310,7 +310,7 @@
                 counters["host-messages-unreadable"] += 1
                 continue
             now = boot_clock()
-            actions = self.core.take_host_message(message, address[0], now)
+            actions = self.core.handle_host_message(message, address[0], now)
             self.perform(actions, now)
 
     def send_message(self, action: Tell) -> None:
--- a/citronspring/emulator/hosts.py
+++ b/citronspring/emulator/hosts.py
@@ -15,7 +15,7 @@
 from citronspring.rendezvous import seed_of
 from citronspring.tcp_flags import RST
 from citronspring.tokens.balancer import TokenBalancer
-from citronspring.tokens.copies import decode_copy
+from citronspring.tokens.change_feed import LINK_SHARE, FeedPoll, decode_feed
 from citronspring.tokens.election import CALL_TIMEOUT, claim_delay
 from citronspring.tokens.entities import Packet
 from citronspring.tokens.messages import (
@@ -28,7 +28,7 @@
     Tell,
     Unanswered,
 )
-from citronspring.tokens.news import LINK_SHARE, Poll, decode_news
+from citronspring.tokens.peer_snapshot import decode_snapshot
 from citronspring.tokens.times import ReaderTimes
 
 if TYPE_CHECKING:
@@ -89,7 +89,9 @@
     download_rate: float = math.inf
     outward: Link = field(default_factory=Link)
     #: Questions of followers that are held, each with what answers it.
-    polls: list[tuple[Poll, Callable[[int, bytes], None]]] = field(default_factory=list)
+    polls: list[tuple[FeedPoll, Callable[[int, bytes], None]]] = field(
+        default_factory=list
+    )
 
     def start(self) -> None:
         """Start the process."""
@@ -109,7 +111,7 @@
         )
         if self.download_rate < math.inf:
             self.core.tables.news.rate = LINK_SHARE * self.download_rate
-        self.core.begin_turn(self.clock.now)
+        self.core.begin_iteration(self.clock.now)
         self.turn(boot)
 
     def kill(self) -> None:
@@ -130,7 +132,7 @@
         self.frozen = False
         self.disturbed_at = self.clock.now
         if self.core is not None:
-            self.core.begin_turn(self.clock.now)
+            self.core.begin_iteration(self.clock.now)
             self.read_queue()
 
     def stop(self) -> None:
@@ -163,7 +165,7 @@
             return
         # As the process does at each opening: what has waited since before there was
         # a configuration is too old to be placed.
-        self.core.begin_turn(self.clock.now)
+        self.core.begin_iteration(self.clock.now)
         waiting, self.queue = self.queue, []
         for packet, caller in waiting:
             self.callers[packet.flow] = caller
@@ -181,7 +183,7 @@
         now = self.clock.now
         if not self.frozen:
             if self.core.configured:
-                self.core.begin_turn(now)
+                self.core.begin_iteration(now)
             self.read_queue()
             self.perform(self.core.tick(now))
             self.ask_store(boot)
@@ -208,7 +210,7 @@
 
         def take(answer: StoreAnswer) -> list[Action]:
             self.calling = False
-            return core.take_answer(call, answer, now, self.clock.now)
+            return core.handle_store_answer(call, answer, now, self.clock.now)
 
         pending = Pending(self, boot, take)
         match call:
@@ -255,7 +257,7 @@
 
         def take(answer: ElectionAnswer) -> list[Action]:
             self.electing = False
-            return core.take_election_answer(call, answer, now, self.clock.now)
+            return core.handle_election_answer(call, answer, now, self.clock.now)
 
         pending = Pending(self, boot, take)
         self.store.elect(self.host_id, call, pending.answer)
@@ -268,7 +270,7 @@
         """Ask the zone's reader for news."""
 
         def reply(status: int, body: bytes) -> None:
-            found = decode_news(status, body)
+            found = decode_feed(status, body)
             self.network.carry(reader.zone, self.zone, lambda: pending.answer(found))
 
         def arrive() -> None:
@@ -276,7 +278,7 @@
                 pending.answer(Unanswered("the connection was refused"))
                 return
             now = self.clock.now
-            poll = Poll(call.after_revision, now, now + call.wait, self.host_id)
+            poll = FeedPoll(call.after_revision, now, now + call.wait, self.host_id)
             reader.polls.append((poll, reply))
 
         self.network.carry(self.zone, reader.zone, arrive)
@@ -298,8 +300,8 @@
         def answer() -> None:
             if peer.core is None or peer.frozen:
                 return
-            status, body = peer.core.copy(self.clock.now)
-            found = decode_copy(status, body)
+            status, body = peer.core.snapshot(self.clock.now)
+            found = decode_snapshot(status, body)
             self.network.send(peer.zone, self.zone, lambda: pending.answer(found))
 
         self.network.send(self.zone, peer.zone, answer)
@@ -326,7 +328,7 @@
                 return
             now = self.clock.now
             other.perform(
-                other.core.take_host_message(action.message, self.host_id, now)
+                other.core.handle_host_message(action.message, self.host_id, now)
             )
 
         self.network.send(self.zone, other.zone, arrive)
--- a/citronspring/emulator/restores.py
+++ b/citronspring/emulator/restores.py
@@ -9,9 +9,9 @@
 from citronspring.tokens.entries import (
     Configuration,
     Target,
-    at_revision,
     count_of,
     ordered_revision,
+    with_revision,
 )
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
     def of_epoch(entry: Change) -> Change:
         if isinstance(entry, Configuration):
             return entry
-        return at_revision(entry, renumbered(entry.revision))
+        return with_revision(entry, renumbered(entry.revision))
 
     store.revision = renumbered(copy.revision)
     store.entries = {key: of_epoch(entry) for key, entry in copy.entries.items()}
--- a/citronspring/emulator/store.py
+++ b/citronspring/emulator/store.py
@@ -9,14 +9,14 @@
 from citronspring.tokens.entries import (
     Configuration,
     ReaderRemoved,
-    Removed,
     Target,
+    TargetRemoved,
     ZoneDrain,
     ZoneReader,
-    at_revision,
     count_of,
     epoch_of,
     ordered_revision,
+    with_revision,
 )
 from citronspring.tokens.messages import (
     Changes,
@@ -47,7 +47,7 @@
     )
 
 Entry = Configuration | Target | ZoneReader | ZoneDrain
-Change = Entry | Removed | ReaderRemoved
+Change = Entry | TargetRemoved | ReaderRemoved
 
 #: Seconds that an answer takes.
 ANSWER_TIME = 0.004
@@ -128,7 +128,7 @@
     def put_target(self, target: Target) -> None:
         """Take what a target registers."""
         self.revision += 1
-        entry = at_revision(target, self.revision)
+        entry = with_revision(target, self.revision)
         self.entries[target.target_id] = entry
         self.record(entry)
 
@@ -137,7 +137,7 @@
         if self.entries.pop(target.target_id, None) is None:
             return
         self.revision += 1
-        self.record(Removed(target.target_id, self.revision))
+        self.record(TargetRemoved(target.target_id, self.revision))
 
     def put_drain(self, zone: str) -> None:
         """Take that operators drain a zone."""
--- a/citronspring/platform/store.py
+++ b/citronspring/platform/store.py
@@ -19,7 +19,7 @@
 )
 from citronspring.tokens.entries import (
     ReaderRemoved,
-    Removed,
+    TargetRemoved,
     Unreadable,
     ZoneDrain,
     count_of,
@@ -148,7 +148,7 @@
     if key.startswith(DRAIN_PREFIX):
         return decode_drain(key, revision, ended=True)
     if key.startswith(TARGET_PREFIX):
-        return Removed(key.removeprefix(TARGET_PREFIX), revision)
+        return TargetRemoved(key.removeprefix(TARGET_PREFIX), revision)
     if key.startswith(READER_PREFIX):
         return ReaderRemoved(key.removeprefix(READER_PREFIX), revision)
     return None
--- a/citronspring/tokens/admission.py
+++ b/citronspring/tokens/admission.py
@@ -27,28 +27,28 @@
 #: Answers, with no longer silence between, before which a median is not known. A host
 #: of a large fleet sees a request or two of a service a second, and one slow upload
 #: would have the next callers refused while targets are idle.
-FEW_ANSWERS = 10
+MIN_ANSWERS = 10
 
 #: Least median in seconds: one of 0, as of an answer that came in the same instant,
 #: would stay 0 for ever.
-LEAST_MEDIAN = 0.001
+MIN_MEDIAN = 0.001
 
 #: Seconds without an answer after which nothing is known of the delay; flows are then
 #: let in, and find out.
-MEDIAN_LASTS = 0.5
+MEDIAN_LIFETIME = 0.5
 
 #: Median time to answer, as a share of the objective, from which openings are refused,
 #: and that from which all are. Queues of half of the objective keep targets at work,
 #: and a request that is let in is still answered in time.
-FIRST_REFUSALS = 0.35
-ALL_REFUSED = 0.55
+SHEDDING_START = 0.35
+SHEDDING_FULL = 0.55
 
 #: What each step of priority adds to both. Orders, which may run once only and are
 #: worth more, are let in while previews are refused.
 PRIORITY_STEP = 0.25
 
 #: Share of the usual size of a route's answers below which one is a refusal.
-SMALL_ANSWER = 0.3
+SMALL_ANSWER_RATIO = 0.3
 
 #: How far an answer moves the usual size up or down: three of four answers are smaller.
 #: Refusals move it by the decay in a second at most, so that many of them in a rush do
@@ -58,11 +58,11 @@
 SIZE_DECAY = 0.05
 
 #: Seconds of that decay that one refusal brings at most.
-LONGEST_DECAY = 1.0
+MAX_DECAY_SECONDS = 1.0
 
 #: Modulus and multiplier of the draw for an opening.
-DRAWS = 1 << 16
-MULTIPLIER = 0x9E3779B1
+DRAW_RANGE = 1 << 16
+HASH_MULTIPLIER = 0x9E3779B1
 
 
 def note_time_to_answer(service: ServiceRow, seconds: float, now: float) -> None:
@@ -72,14 +72,14 @@
     targets at a tenth of their speed would double a mean, and flows would be refused
     that the other targets have room for.
     """
-    if now - service.answered_at > MEDIAN_LASTS:
-        service.median_delay = max(seconds, LEAST_MEDIAN)
+    if now - service.answered_at > MEDIAN_LIFETIME:
+        service.median_delay = max(seconds, MIN_MEDIAN)
         service.answers = 0
     elif seconds > service.median_delay:
         service.median_delay *= 1.0 + MEDIAN_STEP
     else:
         lower = service.median_delay * (1.0 - MEDIAN_STEP)
-        service.median_delay = max(lower, LEAST_MEDIAN)
+        service.median_delay = max(lower, MIN_MEDIAN)
     service.answers += 1
     service.answered_at = now
 
@@ -91,13 +91,13 @@
     than answers do, and counted as one of them it would hide how long those take.
     """
     usual = row.usual_size
-    passed = min(now - row.seen_at, LONGEST_DECAY)
+    passed = min(now - row.seen_at, MAX_DECAY_SECONDS)
     row.seen_at = now
     if not usual:
         row.usual_size = float(size)
     elif size > usual:
         row.usual_size = min(usual * (1.0 + SIZE_RISE), float(size))
-    elif size < usual * SMALL_ANSWER:
+    elif size < usual * SMALL_ANSWER_RATIO:
         row.usual_size = usual * (1.0 - SIZE_DECAY * passed)
         return False
     else:
@@ -105,27 +105,27 @@
     return True
 
 
-def admits(
+def is_admitted(
     tables: Tables, packet: Packet, route: Route, service: str, now: float
 ) -> bool:
     """Whether an opening is let in."""
-    delay = known_delay(tables, service, now)
-    share = refused_share(delay, route, tables.least_priority)
-    draw = (packet.seq * MULTIPLIER >> 8) % DRAWS
-    return draw >= share * DRAWS
+    delay = current_delay(tables, service, now)
+    share = shed_fraction(delay, route, tables.lowest_priority)
+    draw = (packet.seq * HASH_MULTIPLIER >> 8) % DRAW_RANGE
+    return draw >= share * DRAW_RANGE
 
 
-def known_delay(tables: Tables, service: str, now: float) -> float:
+def current_delay(tables: Tables, service: str, now: float) -> float:
     """Return the median time to answer of a service, 0 if it is not known now."""
     row = tables.services.get(service)
-    if row is None or row.answers < FEW_ANSWERS:
+    if row is None or row.answers < MIN_ANSWERS:
         return 0.0
-    if now - row.answered_at > MEDIAN_LASTS:
+    if now - row.answered_at > MEDIAN_LIFETIME:
         return 0.0
     return row.median_delay
 
 
-def refused_share(delay: float, route: Route, least_priority: int) -> float:
+def shed_fraction(delay: float, route: Route, lowest_priority: int) -> float:
     """Return the share of a route's openings that are refused.
 
     Parameters
@@ -134,10 +134,10 @@
         Median seconds that requests of the service take.
     route : Route
         The route, with its objective and priority.
-    least_priority : int
+    lowest_priority : int
         Priority number of the least urgent route.
     """
-    steps = max(least_priority - route.priority, 0)
-    first = FIRST_REFUSALS + steps * PRIORITY_STEP
-    width = ALL_REFUSED - FIRST_REFUSALS
+    steps = max(lowest_priority - route.priority, 0)
+    first = SHEDDING_START + steps * PRIORITY_STEP
+    width = SHEDDING_FULL - SHEDDING_START
     return min(max((delay / route.objective - first) / width, 0.0), 1.0)
--- a/citronspring/tokens/balancer.py
+++ b/citronspring/tokens/balancer.py
@@ -4,38 +4,39 @@
 
 from citronspring.events import LEAVING
 from citronspring.light_stdlib import TYPE_CHECKING
-from citronspring.tokens.copies import encode_copy
+from citronspring.tokens.change_feed import answer_poll
 from citronspring.tokens.election import (
+    handle_election_answer,
     next_election_call,
     next_election_deadline,
-    take_election_answer,
 )
+from citronspring.tokens.entry_updates import forget_targets
 from citronspring.tokens.flows import SWEEP_INTERVAL, expire_flows
 from citronspring.tokens.forwarding import receive_packet
 from citronspring.tokens.inquiry import (
-    inquire,
+    advance_inquiry,
+    handle_host_message,
     next_inquiry_deadline,
     note_member,
     report_suspicions,
-    take_host_message,
 )
+from citronspring.tokens.local_path import note_disturbance
 from citronspring.tokens.messages import Log
-from citronspring.tokens.news import answer_poll
-from citronspring.tokens.openings import overdue_openings, place_opening
-from citronspring.tokens.own_path import note_disturbance
-from citronspring.tokens.reader import (
+from citronspring.tokens.openings import place_opening, unanswered_openings
+from citronspring.tokens.peer_snapshot import encode_snapshot
+from citronspring.tokens.store_reader import (
     answer_deadline,
+    handle_store_answer,
     is_current,
     largest_answer,
     next_call,
-    take_answer,
 )
-from citronspring.tokens.revisions import forget_targets
 from citronspring.tokens.tables import Tables
 from citronspring.tokens.times import ReaderTimes
 
 if TYPE_CHECKING:
     from citronspring.endpoints import Endpoint
+    from citronspring.tokens.change_feed import FeedPoll
     from citronspring.tokens.entities import Packet
     from citronspring.tokens.messages import (
         Action,
@@ -44,7 +45,6 @@
         StoreAnswer,
         StoreCall,
     )
-    from citronspring.tokens.news import Poll
     from citronspring.tokens.suspicions import HostMessage
 
 #: Seconds for which a leaving host forwards at least: routers ask for its readiness
@@ -57,7 +57,7 @@
 #: Seconds for which the process may stand still until openings that wait are too old
 #: to be placed: after 200 ms a caller sends a copy, which may open the flow through
 #: another host. Twice the longest pause of a processor that has used up its share.
-PAUSE = 0.2
+STALL_THRESHOLD = 0.2
 
 
 class TokenBalancer:
@@ -104,7 +104,7 @@
         """Whether new flows may be sent to this host."""
         return self.configured and self.tables.leave_deadline is None
 
-    def begin_turn(self, now: float, slept: float = 0.0) -> bool:
+    def begin_iteration(self, now: float, slept: float = 0.0) -> bool:
         """Take that the process is about to read what waits for it.
 
         Returns whether the process stood still. Everything that waits must then be
@@ -118,12 +118,12 @@
             Seconds for which it meant to sleep since the last turn began.
         """
         tables = self.tables
-        paused = now - tables.turn_at - slept >= PAUSE
+        paused = now - tables.iteration_started_at - slept >= STALL_THRESHOLD
         if paused:
             tables.stale = True
             tables.counters["pauses"] += 1
-            note_disturbance(tables.own_path, now)
-        tables.turn_at = now
+            note_disturbance(tables.local_path, now)
+        tables.iteration_started_at = now
         return paused
 
     def receive(self, packet: Packet, now: float) -> list[Action]:
@@ -136,7 +136,7 @@
     def note_failed_send(self, now: float) -> None:
         """Take that the host could not send a datagram."""
         self.tables.counters["send-errors"] += 1
-        note_disturbance(self.tables.own_path, now)
+        note_disturbance(self.tables.local_path, now)
 
     def next_call(self, now: float) -> StoreCall | None:
         """Return the call to make to the store, None while it is not yet time."""
@@ -150,11 +150,11 @@
         """Return the bytes beyond which an answer to a call is not taken."""
         return largest_answer(self.times, call)
 
-    def take_answer(
+    def handle_store_answer(
         self, call: StoreCall, answer: StoreAnswer, sent_at: float, now: float
     ) -> list[Action]:
         """Take what a call to the store, a peer or the zone's reader brought."""
-        return take_answer(self.tables, self.times, call, answer, sent_at, now)
+        return handle_store_answer(self.tables, self.times, call, answer, sent_at, now)
 
     def next_election_call(
         self, endpoint: Endpoint, delay: float, now: float
@@ -166,23 +166,23 @@
         """Return the time at which such a call may be due."""
         return next_election_deadline(self.tables)
 
-    def take_election_answer(
+    def handle_election_answer(
         self, call: ElectionCall, answer: ElectionAnswer, sent_at: float, now: float
     ) -> list[Action]:
         """Take what such a call brought."""
-        return take_election_answer(self.tables, call, answer, sent_at, now)
+        return handle_election_answer(self.tables, call, answer, sent_at, now)
 
-    def answer_poll(self, poll: Poll, now: float) -> tuple[int, bytes] | None:
+    def answer_poll(self, poll: FeedPoll, now: float) -> tuple[int, bytes] | None:
         """Return status and body for a follower, None to let it wait on."""
         note_member(self.tables, poll.host, now)
         return answer_poll(self.tables, self.times, poll, now)
 
-    def take_host_message(
+    def handle_host_message(
         self, message: HostMessage, source: str, now: float
     ) -> list[Action]:
         """Take what another host of the zone says; ``source`` is its address."""
         actions: list[Action] = []
-        take_host_message(self.tables, message, source, now, actions)
+        handle_host_message(self.tables, message, source, now, actions)
         return actions
 
     def tick(self, now: float) -> list[Action]:
@@ -194,21 +194,21 @@
         actions: list[Action] = []
         tables = self.tables
         tables.stale = False
-        for key in overdue_openings(tables, now):
+        for key in unanswered_openings(tables, now):
             flow = tables.flows[key]
             route = tables.routes.get(flow.route)
             if route is not None and flow.opening is not None:
                 place_opening(tables, flow.opening, route, flow, now, actions)
         report_suspicions(tables, now, actions)
-        inquire(tables, now, actions)
+        advance_inquiry(tables, now, actions)
         if now >= tables.sweep_at:
             tables.sweep_at = now + SWEEP_INTERVAL
             expire_flows(tables, now)
             forget_targets(tables, now)
-        if now >= tables.rewrites.next_deadline:
-            from citronspring.tokens.rewrites import end_rewrites
+        if now >= tables.restore_grace.next_deadline:
+            from citronspring.tokens.restore_grace import expire_missing_entries
 
-            end_rewrites(tables, now, actions)
+            expire_missing_entries(tables, now, actions)
         return actions
 
     def next_deadline(self, now: float) -> float:
@@ -217,7 +217,7 @@
         deadline = min(
             tables.sweep_at,
             next_inquiry_deadline(tables.inquiry),
-            tables.rewrites.next_deadline,
+            tables.restore_grace.next_deadline,
         )
         if tables.opening_deadlines:
             return min(tables.opening_deadlines[0][0], deadline)
@@ -247,16 +247,16 @@
     def dump(self, now: float) -> dict[str, object]:
         """Return the state as plain values, for operators."""
         # Imported when it is first asked for: each module at start is dark time.
-        from citronspring.tokens.report import dump_state
+        from citronspring.tokens.introspection import dump_state
 
         return dump_state(self.tables, now)
 
-    def copy(self, now: float) -> tuple[int, bytes]:
+    def snapshot(self, now: float) -> tuple[int, bytes]:
         """Return status and body of the answer to a peer that asks for a copy."""
-        return encode_copy(self.tables, now)
+        return encode_snapshot(self.tables, now)
 
     def metrics(self, now: float) -> str:
         """Return counters and histograms as text."""
-        from citronspring.tokens.report import metrics_text
+        from citronspring.tokens.introspection import metrics_text
 
         return metrics_text(self.tables, now)
--- a/citronspring/tokens/news.py
+++ b/citronspring/tokens/change_feed.py
@@ -6,26 +6,26 @@
 from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.records import record
 from citronspring.tokens.codec import (
-    FORMAT,
-    UNUSABLE,
+    DECODE_ERRORS,
+    FORMAT_VERSION,
+    decode_body,
     decode_change,
-    pack,
-    plain_change,
-    unpack,
+    encode_body,
+    encode_change,
 )
-from citronspring.tokens.copies import OK
 from citronspring.tokens.entries import Target, epoch_of
-from citronspring.tokens.messages import HistoryLost, ReaderNews, Refused, Unanswered
+from citronspring.tokens.messages import FeedAnswer, HistoryLost, Refused, Unanswered
+from citronspring.tokens.peer_snapshot import OK
 from citronspring.tokens.tables import LoggedChange
 
 if TYPE_CHECKING:
-    from citronspring.tokens.tables import NewsLog, Tables
+    from citronspring.tokens.tables import ChangeLog, Tables
     from citronspring.tokens.times import ReaderTimes
 
 #: Changes kept for followers. They ask again within three seconds, in which even a
 #: fleet that is replaced as a whole brings a few hundred; one that is further behind
 #: reads the store.
-MOST_CHANGES = 1000
+MAX_LOGGED_CHANGES = 1000
 
 #: Share of a host's link that its followers may take. What a link has no room for is
 #: lost, callers' packets first: a configuration sent whole to a zone keeps a small link
@@ -33,10 +33,10 @@
 LINK_SHARE = 0.05
 
 #: Seconds for which an unused share is saved up.
-LONGEST_SAVING = 1.0
+MAX_BURST_SECONDS = 1.0
 
 #: Bytes that an answer takes beside its body.
-HEAD_BYTES = 150
+HEADER_BYTES = 150
 
 #: Status for a follower that is further behind than the log reaches, and for one
 #: that had better read the store itself.
@@ -45,7 +45,7 @@
 
 
 @record
-class Poll:
+class FeedPoll:
     """A follower's question, held until there is something to say."""
 
     after_revision: int
@@ -56,7 +56,7 @@
     host: str = ""
 
 
-def note_news(tables: Tables, now: float, newest: int = 0) -> None:
+def log_changes(tables: Tables, now: float, newest: int = 0) -> None:
     """Keep what an answer of the store has changed for followers.
 
     Parameters
@@ -71,24 +71,24 @@
         new to a follower that has read up to there; and to the reader itself it is
         none when its watch brings it again.
     """
-    news = tables.news
+    news = tables.change_log
     kept = news.changes[-1].revision if news.changes else 0
     revision = max(tables.reader.revision, newest, kept)
-    news.changes.extend(LoggedChange(revision, change, now) for change in news.fresh)
-    news.fresh.clear()
-    while len(news.changes) > MOST_CHANGES:
-        news.base = news.changes.popleft().revision
+    news.changes.extend(LoggedChange(revision, change, now) for change in news.pending)
+    news.pending.clear()
+    while len(news.changes) > MAX_LOGGED_CHANGES:
+        news.compacted_revision = news.changes.popleft().revision
 
 
-def begin_news(tables: Tables) -> None:
+def start_change_log(tables: Tables) -> None:
     """Begin the log at what the first list brought; followers have read that too."""
-    tables.news.fresh.clear()
-    tables.news.changes.clear()
-    tables.news.base = tables.reader.revision
+    tables.change_log.pending.clear()
+    tables.change_log.changes.clear()
+    tables.change_log.compacted_revision = tables.reader.revision
 
 
 def answer_poll(
-    tables: Tables, times: ReaderTimes, poll: Poll, now: float
+    tables: Tables, times: ReaderTimes, poll: FeedPoll, now: float
 ) -> tuple[int, bytes] | None:
     """Return status and body for a follower, None to let it wait on.
 
@@ -103,34 +103,34 @@
     if epoch_of(poll.after_revision) != epoch_of(reader.revision):
         # What one of both knows may be nothing that the store has held since.
         return TOO_FAR_BEHIND, b"of another epoch of the store\n"
-    if poll.after_revision < tables.news.base:
+    if poll.after_revision < tables.change_log.compacted_revision:
         return TOO_FAR_BEHIND, b"further behind than what is kept\n"
-    skipped_from, skipped_to = tables.news.skipped
+    skipped_from, skipped_to = tables.change_log.skipped
     if skipped_from < poll.after_revision < skipped_to:
         return TOO_FAR_BEHIND, b"a list has skipped what is known there\n"
-    changes = changes_above(tables.news, poll.after_revision)
+    changes = changes_above(tables.change_log, poll.after_revision)
     confirmed = reader.current_at > poll.asked_at
     if not changes and not confirmed and now < poll.deadline:
         return None
     held = now - poll.asked_at
     head = dumps(
         {
-            "format": FORMAT,
+            "format": FORMAT_VERSION,
             "revision": reader.revision,
             "configuration": tables.configuration,
             "age": age,
             "held": held,
         }
     )
-    listed = ", ".join(text_of(logged, now) for logged in changes)
-    body = pack(f'{head[:-1]}, "changes": [{listed}]}}')
-    if not take_allowance(tables.news, len(body) + HEAD_BYTES, now):
+    listed = ", ".join(change_text(logged, now) for logged in changes)
+    body = encode_body(f'{head[:-1]}, "changes": [{listed}]}}')
+    if not take_from_bucket(tables.change_log, len(body) + HEADER_BYTES, now):
         reason = f"{len(body)} bytes are more than the link has room for\n"
         return TOO_FAR_BEHIND, reason.encode()
     return OK, body
 
 
-def changes_above(news: NewsLog, revision: int) -> list[LoggedChange]:
+def changes_above(news: ChangeLog, revision: int) -> list[LoggedChange]:
     """Return the changes above a revision, oldest first.
 
     Looked for from the newest on: the polls of a zone are asked about at each turn of
@@ -145,48 +145,48 @@
     return found
 
 
-def text_of(logged: LoggedChange, now: float) -> str:
+def change_text(logged: LoggedChange, now: float) -> str:
     """Return a change as it is handed on, written once for all followers.
 
     But for a target that was cold when it was read: it is so for less time by now.
     """
     change = logged.change
     if isinstance(change, Target) and change.warmup:
-        return dumps(plain_change(change, now - logged.read_at))
+        return dumps(encode_change(change, now - logged.read_at))
     if not logged.text:
-        logged.text = dumps(plain_change(change))
+        logged.text = dumps(encode_change(change))
     return logged.text
 
 
-def take_allowance(news: NewsLog, size: int, now: float) -> bool:
+def take_from_bucket(news: ChangeLog, size: int, now: float) -> bool:
     """Take some bytes of what followers may cost; return whether there were enough."""
-    gained = min(now - news.allowed_at, LONGEST_SAVING) * news.rate
-    news.allowance = min(news.allowance + gained, LONGEST_SAVING * news.rate)
-    news.allowed_at = now
-    if size > news.allowance:
+    gained = min(now - news.bucket_updated_at, MAX_BURST_SECONDS) * news.rate
+    news.bucket_level = min(news.bucket_level + gained, MAX_BURST_SECONDS * news.rate)
+    news.bucket_updated_at = now
+    if size > news.bucket_level:
         return False
-    news.allowance -= size
+    news.bucket_level -= size
     return True
 
 
-def decode_news(
+def decode_feed(
     status: int, body: bytes
-) -> ReaderNews | HistoryLost | Refused | Unanswered:
+) -> FeedAnswer | HistoryLost | Refused | Unanswered:
     """Return what a reader's answer holds."""
     if status == TOO_FAR_BEHIND:
         return HistoryLost()
     if status != OK:
         return Refused(status)
     try:
-        found = unpack(body)
-        if found.get("format") != FORMAT:
+        found = decode_body(body)
+        if found.get("format") != FORMAT_VERSION:
             return Unanswered("the reader is of another release")
-        return ReaderNews(
+        return FeedAnswer(
             tuple(decode_change(change) for change in found["changes"]),
             int(found["revision"]),
             float(found["age"]),
             float(found["held"]),
             int(found["configuration"]),
         )
-    except UNUSABLE as error:
+    except DECODE_ERRORS as error:
         return Unanswered(f"news that cannot be read: {error!r}")
--- a/citronspring/tokens/codec.py
+++ b/citronspring/tokens/codec.py
@@ -10,8 +10,8 @@
     Configuration,
     ConfigurationChange,
     ReaderRemoved,
-    Removed,
     Target,
+    TargetRemoved,
     Unreadable,
     ZoneDrain,
     ZoneReader,
@@ -20,50 +20,50 @@
 if TYPE_CHECKING:
     from typing import Any
 
-    from citronspring.tokens.entries import News
+    from citronspring.tokens.entries import FeedChange
 
 
 #: Release of what hosts tell each other. The second one tells which zones are drained,
 #: the third numbers revisions by epochs; who hears from a host of an earlier one must
 #: not take its silence for an answer.
-FORMAT = 3
+FORMAT_VERSION = 3
 
 #: What decoding raises when a copy has another shape, as one of another release may.
-UNUSABLE = (AttributeError, IndexError, KeyError, TypeError, ValueError)
+DECODE_ERRORS = (AttributeError, IndexError, KeyError, TypeError, ValueError)
 
 #: Bytes from which a body is compressed. A difference of 1,400 routes shrinks from
 #: 185 to 26 KB in 0.6 ms, and a reader's share of its link does for a whole zone; a
 #: body of a packet or two gains nothing.
-SMALLEST_PACKED = 2000
+MIN_COMPRESSED_BYTES = 2000
 
 #: Level of compression: the quickest; 6 saves another fifth for twice the time.
-PACK_LEVEL = 1
+COMPRESSION_LEVEL = 1
 
 #: Bytes that a body may have when it is unpacked, 20 times the largest configuration
 #: of the platform, so that a damaged one cannot use up a host's memory.
-LARGEST_UNPACKED = 20_000_000
+MAX_DECOMPRESSED_BYTES = 20_000_000
 
 
-def pack(text: str) -> bytes:
+def encode_body(text: str) -> bytes:
     """Return JSON text as it is sent between hosts, compressed where that pays."""
     body = text.encode()
-    if len(body) < SMALLEST_PACKED:
+    if len(body) < MIN_COMPRESSED_BYTES:
         return body
     # Imported for the first large body; a start needs none.
     from zlib import compress
 
-    return compress(body, PACK_LEVEL)
+    return compress(body, COMPRESSION_LEVEL)
 
 
-def unpack(body: bytes) -> Any:
-    """Return the plain values in a body; raises one of `UNUSABLE`."""
+def decode_body(body: bytes) -> Any:
+    """Return the plain values in a body; raises one of `DECODE_ERRORS`."""
     if body.startswith(b"{"):
         return loads(body)
     from zlib import decompressobj, error
 
     unpacker = decompressobj()
     try:
-        text = unpacker.decompress(body, LARGEST_UNPACKED)
+        text = unpacker.decompress(body, MAX_DECOMPRESSED_BYTES)
     except error as cause:
         raise ValueError(f"the body is damaged: {cause}") from cause
     if not unpacker.eof:
@@ -71,7 +71,7 @@
     return loads(text)
 
 
-def plain_change(change: News, age: float = 0.0) -> dict[str, Any]:
+def encode_change(change: FeedChange, age: float = 0.0) -> dict[str, Any]:
     """Return a change as plain values; ``age`` in seconds since it was read."""
     match change:
         case ConfigurationChange():
@@ -79,15 +79,15 @@
                 "base": change.base,
                 "revision": change.revision,
                 "idle_timeout": change.idle_timeout,
-                "routes": [plain_route(route) for route in change.routes],
+                "routes": [encode_route(route) for route in change.routes],
                 "removed_routes": list(change.removed),
             }
         case Target():
-            return {"target": plain_target(change, max(change.warmup - age, 0.0))}
+            return {"target": encode_target(change, max(change.warmup - age, 0.0))}
         case Unreadable():
             names: tuple[str, ...] = Unreadable.__match_args__
             return {"unreadable": {name: getattr(change, name) for name in names}}
-        case Removed():
+        case TargetRemoved():
             return {"removed": change.target_id, "revision": change.revision}
         case ZoneReader():
             names = ZoneReader.__match_args__
@@ -95,10 +95,10 @@
         case ReaderRemoved():
             return {"reader_removed": change.zone, "revision": change.revision}
         case ZoneDrain():
-            return {"drain": plain_zone_drain(change)}
+            return {"drain": encode_zone_drain(change)}
 
 
-def decode_change(body: dict[str, Any]) -> News:
+def decode_change(body: dict[str, Any]) -> FeedChange:
     """Return a change from plain values."""
     if "base" in body:
         return ConfigurationChange(
@@ -116,7 +116,7 @@
             str(found["name"]),
             str(found["reason"]),
             int(found["revision"]),
-            start_of(found),
+            start_time_of(found),
         )
     if "reader" in body:
         return decode_zone_reader(body["reader"])
@@ -124,10 +124,10 @@
         return ReaderRemoved(str(body["reader_removed"]), int(body["revision"]))
     if "drain" in body:
         return decode_zone_drain(body["drain"])
-    return Removed(str(body["removed"]), int(body["revision"]))
+    return TargetRemoved(str(body["removed"]), int(body["revision"]))
 
 
-def plain_route(route: Route) -> dict[str, Any]:
+def encode_route(route: Route) -> dict[str, Any]:
     """Return a route as plain values."""
     return {
         "name": route.name,
@@ -139,7 +139,7 @@
     }
 
 
-def plain_target(target: Target, warmup: float) -> dict[str, Any]:
+def encode_target(target: Target, warmup: float) -> dict[str, Any]:
     """Return a target as plain values."""
     names: tuple[str, ...] = Target.__match_args__
     values: dict[str, Any] = {name: getattr(target, name) for name in names}
@@ -184,7 +184,7 @@
         bool(body["leaving"]),
         float(body["warmup"]),
         int(body["revision"]),
-        start_of(body),
+        start_time_of(body),
         int(body.get("sequence", 0)),
     )
 
@@ -200,7 +200,7 @@
     )
 
 
-def plain_zone_drain(drain: ZoneDrain) -> dict[str, Any]:
+def encode_zone_drain(drain: ZoneDrain) -> dict[str, Any]:
     """Return whether a zone is drained as plain values."""
     names: tuple[str, ...] = ZoneDrain.__match_args__
     return {name: getattr(drain, name) for name in names}
@@ -211,7 +211,7 @@
     return ZoneDrain(str(body["zone"]), int(body["revision"]), bool(body["ended"]))
 
 
-def start_of(body: dict[str, Any]) -> int | None:
+def start_time_of(body: dict[str, Any]) -> int | None:
     """Return which start of a target plain values are of, None if they do not say."""
     started = body.get("started")
     return None if started is None else int(started)
--- a/citronspring/tokens/election.py
+++ b/citronspring/tokens/election.py
@@ -32,28 +32,30 @@
 LEASE_SECONDS = 4.0
 
 #: Share of a lease after which it is renewed: two renewals may be lost.
-RENEW_SHARE = 0.3
+RENEWAL_FRACTION = 0.3
 
 #: Seconds over which the hosts of a zone spread their claims. A claim is known to all
 #: within 20 ms, so that of thirty hosts one or two call in vain.
-CLAIM_SPREAD = 1.0
+CLAIM_JITTER = 1.0
 
 #: Seconds that a host waits longer the smaller it is, times its share of a processor:
 #: handing on costs a small host more of what it has for callers.
-SMALLNESS_DELAY = 0.2
+SMALL_HOST_DELAY = 0.2
 
 #: Longest of that.
-LONGEST_DELAY = 2.0
+MAX_SMALL_HOST_DELAY = 2.0
 
 #: Seconds until a call is given up, and after one that failed until the next.
 CALL_TIMEOUT = 0.5
-RETRY = 0.5
+RETRY_PAUSE = 0.5
 
 
 def claim_delay(host_id: str, processor_share: float) -> float:
     """Return the seconds that a host waits before it claims its zone."""
     draw = crc32(host_id.encode()) % 1000 / 1000
-    return CLAIM_SPREAD * draw + min(SMALLNESS_DELAY / processor_share, LONGEST_DELAY)
+    return CLAIM_JITTER * draw + min(
+        SMALL_HOST_DELAY / processor_share, MAX_SMALL_HOST_DELAY
+    )
 
 
 def next_election_call(
@@ -76,11 +78,11 @@
     if election.lease and now >= election.lease_deadline:
         election.lease = 0
     if tables.leave_deadline is not None:
-        return give_up(tables)
-    plan_claim(tables, delay, now)
+        return release_lease(tables)
+    schedule_claim(tables, delay, now)
     if now < next_election_deadline(tables):
         return None
-    if not lacks_reader(tables):
+    if not zone_lacks_reader(tables):
         return RenewLease(election.lease)
     if not election.lease:
         return GrantLease(LEASE_SECONDS)
@@ -89,7 +91,7 @@
     return ClaimZone(election.lease, tables.zone, tables.host_id, endpoint, replaces)
 
 
-def plan_claim(tables: Tables, delay: float, now: float) -> None:
+def schedule_claim(tables: Tables, delay: float, now: float) -> None:
     """Decide when this host claims its zone, once nobody is known to read for it.
 
     A reader that has started again claims at once: else its zone would have a silent
@@ -97,38 +99,38 @@
     """
     election = tables.election
     note_stale_entry(tables)
-    if not lacks_reader(tables) or not can_read(tables):
+    if not zone_lacks_reader(tables) or not store_is_readable(tables):
         election.claim_at = INFINITY
     elif election.claim_at == INFINITY:
-        election.claim_at = now if holds_zone(tables) else now + delay
+        election.claim_at = now if is_zone_reader(tables) else now + delay
 
 
 def note_stale_entry(tables: Tables) -> None:
     """Take that this host is registered under a lease that it does not know."""
-    if holds_zone(tables) and not tables.election.lease:
+    if is_zone_reader(tables) and not tables.election.lease:
         tables.election.stale_revision = tables.zone_readers[tables.zone].revision
 
 
-def lacks_reader(tables: Tables) -> bool:
+def zone_lacks_reader(tables: Tables) -> bool:
     """Whether nobody is registered, or only this host before its start."""
     reader = tables.zone_readers.get(tables.zone)
     if reader is None:
         return True
-    return holds_zone(tables) and reader.revision == tables.election.stale_revision
+    return is_zone_reader(tables) and reader.revision == tables.election.stale_revision
 
 
-def can_read(tables: Tables) -> bool:
+def store_is_readable(tables: Tables) -> bool:
     """Whether this host has read the store, and its last call was answered."""
     return tables.reader.listed and not tables.reader.failures
 
 
-def give_up(tables: Tables) -> EndLease | None:
+def release_lease(tables: Tables) -> EndLease | None:
     """Return the call by which a leaving host gives up its lease, once."""
     lease, tables.election.lease = tables.election.lease, 0
     return EndLease(lease) if lease else None
 
 
-def take_election_answer(
+def handle_election_answer(
     tables: Tables,
     call: ElectionCall,
     answer: ElectionAnswer,
@@ -144,41 +146,41 @@
     match call, answer:
         case GrantLease(), LeaseGranted():
             election.lease = answer.lease
-            hold_lease(tables, sent_at, answer.ttl)
+            extend_lease(tables, sent_at, answer.ttl)
             return [Log(LEASE_TAKEN.number, {"lease": answer.lease})]
         case RenewLease(), Done():
-            hold_lease(tables, sent_at, LEASE_SECONDS)
+            extend_lease(tables, sent_at, LEASE_SECONDS)
         case ClaimZone(), Done() | ConditionFailed():
             # The watch brings who it is; until then nothing more is to be claimed.
             election.claim_at = now + LEASE_SECONDS
         case _, LeaseLost():
-            return drop_lease(tables, now)
+            return clear_lost_lease(tables, now)
         case _:
             tables.counters["election-failures"] += 1
-            election.renew_at = election.claim_at = now + RETRY
+            election.renew_at = election.claim_at = now + RETRY_PAUSE
     return []
 
 
-def hold_lease(tables: Tables, sent_at: float, ttl: float) -> None:
+def extend_lease(tables: Tables, sent_at: float, ttl: float) -> None:
     """Count a lease from the call that brought or renewed it."""
     tables.election.lease_deadline = sent_at + ttl
-    tables.election.renew_at = sent_at + RENEW_SHARE * ttl
+    tables.election.renew_at = sent_at + RENEWAL_FRACTION * ttl
 
 
-def drop_lease(tables: Tables, now: float) -> list[Action]:
+def clear_lost_lease(tables: Tables, now: float) -> list[Action]:
     """Take that the lease has ended."""
     election = tables.election
     lease, election.lease = election.lease, 0
-    election.claim_at = now + RETRY
+    election.claim_at = now + RETRY_PAUSE
     return [Log(LEASE_LOST.number, {"lease": lease})] if lease else []
 
 
-def forget_lost_lease(tables: Tables) -> None:
+def drop_unknown_lease(tables: Tables) -> None:
     """Take that the store has come back from an older copy, without a lease perhaps.
 
     Its number may be another host's now; renewed or ended, it would be that one's.
     """
-    if not holds_zone(tables):
+    if not is_zone_reader(tables):
         tables.election.lease = 0
         tables.election.claim_at = INFINITY
 
@@ -192,15 +194,15 @@
     election = tables.election
     if tables.leave_deadline is not None:
         return -INFINITY if election.lease else INFINITY
-    if lacks_reader(tables):
-        return election.claim_at if can_read(tables) else INFINITY
+    if zone_lacks_reader(tables):
+        return election.claim_at if store_is_readable(tables) else INFINITY
     # A reader that cannot read must not keep others from it.
-    if not election.lease or tables.reader.failures or not holds_zone(tables):
+    if not election.lease or tables.reader.failures or not is_zone_reader(tables):
         return INFINITY
     return election.renew_at
 
 
-def holds_zone(tables: Tables) -> bool:
+def is_zone_reader(tables: Tables) -> bool:
     """Whether this host is registered as the reader of its zone."""
     holder = tables.zone_readers.get(tables.zone)
     return holder is not None and holder.host_id == tables.host_id
--- a/citronspring/tokens/entries.py
+++ b/citronspring/tokens/entries.py
@@ -1,7 +1,7 @@
 """What the store holds that hosts know, and what they hand on of it.
 
 Each kind of entry has a class here and one for its end. What else a kind needs is a
-place in `citronspring.tokens.tables`, a case in `citronspring.tokens.revisions`, one in
+place in `citronspring.tokens.tables`, a case in `citronspring.tokens.entry_updates`, one in
 `citronspring.tokens.codec`, and one in the adapter, which reads it.
 
 A store that comes back from an older copy gives its revisions out again. Compared by
@@ -27,7 +27,7 @@
 
 
 #: Revisions that an epoch has room for: a million a second for thirty years.
-EPOCH_SIZE = 10**15
+REVISIONS_PER_EPOCH = 10**15
 
 
 def ordered_revision(epoch: int, count: int) -> int:
@@ -38,19 +38,19 @@
     ValueError
         If either is negative, or the count is too large for an epoch.
     """
-    if epoch < 0 or not 0 <= count < EPOCH_SIZE:
+    if epoch < 0 or not 0 <= count < REVISIONS_PER_EPOCH:
         raise ValueError(f"no revision: {count} in epoch {epoch}")
-    return epoch * EPOCH_SIZE + count
+    return epoch * REVISIONS_PER_EPOCH + count
 
 
 def epoch_of(revision: int) -> int:
     """Return how often the store had come back from an older copy."""
-    return revision // EPOCH_SIZE
+    return revision // REVISIONS_PER_EPOCH
 
 
 def count_of(revision: int) -> int:
     """Return the number by which the store itself knows a revision."""
-    return revision % EPOCH_SIZE
+    return revision % REVISIONS_PER_EPOCH
 
 
 def is_of_earlier_epoch(revision: int, other: int) -> bool:
@@ -58,7 +58,7 @@
     return epoch_of(revision) < epoch_of(other)
 
 
-def at_revision(entry: Kind, revision: int) -> Kind:
+def with_revision(entry: Kind, revision: int) -> Kind:
     """Return an entry as it stands at another revision."""
     names: tuple[str, ...] = type(entry).__match_args__
     fields = {name: getattr(entry, name) for name in names}
@@ -114,7 +114,7 @@
 
 
 @record
-class Removed:
+class TargetRemoved:
     """A target's entry is gone from the store."""
 
     target_id: str
@@ -167,14 +167,14 @@
 if TYPE_CHECKING:
     #: What an entry of the store holds, and what a change of one brings.
     Entry = Configuration | Target | ZoneReader | ZoneDrain | Unreadable
-    Change = Entry | Removed | ReaderRemoved
+    Change = Entry | TargetRemoved | ReaderRemoved
     #: The same as hosts hand it on.
-    News = (
+    FeedChange = (
         ConfigurationChange
         | Target
         | ZoneReader
         | ZoneDrain
         | Unreadable
-        | Removed
+        | TargetRemoved
         | ReaderRemoved
     )
--- a/citronspring/tokens/revisions.py
+++ b/citronspring/tokens/entry_updates.py
@@ -16,16 +16,16 @@
     Configuration,
     ConfigurationChange,
     ReaderRemoved,
-    Removed,
     Target,
+    TargetRemoved,
     Unreadable,
     ZoneDrain,
     ZoneReader,
-    at_revision,
     is_of_earlier_epoch,
+    with_revision,
 )
 from citronspring.tokens.messages import Log
-from citronspring.tokens.placement import distance_to, order_of, rank_of
+from citronspring.tokens.placement import placement_order, tie_break_rank, zone_penalty
 from citronspring.tokens.routes import (
     apply_configuration,
     apply_configuration_change,
@@ -63,18 +63,18 @@
         case Configuration():
             difference = apply_configuration(tables, change, actions)
             if difference is not None:
-                tables.news.fresh.append(difference)
+                tables.change_log.pending.append(difference)
             return
         case ConfigurationChange():
             news = apply_configuration_change(tables, change, actions)
-        case Removed():
+        case TargetRemoved():
             news = remove_target(tables, change, now, actions)
         case Target():
             news = apply_target(tables, change, now, actions)
         case Unreadable():
             news = apply_unreadable(tables, change, now, actions)
     if news:
-        tables.news.fresh.append(change)
+        tables.change_log.pending.append(change)
 
 
 def apply_zone_reader(
@@ -142,38 +142,38 @@
     if row is None:
         row = add_target(tables, target, actions)
         row.known_at = now
-    elif is_old(row, target) or of_earlier_start(row, target):
+    elif is_outdated(row, target) or is_of_earlier_start(row, target):
         return False
-    elif of_later_start(row, target.started):
+    elif is_of_later_start(row, target.started):
         # Imported when a target has started again; a start of a host needs none.
         from citronspring.tokens.restarts import replace_start
 
         row = replace_start(tables, row, target, actions)
         row.known_at = now
-    if restates(row, target):
-        target = at_revision(row.target, target.revision)
+    if repeats_known_state(row, target):
+        target = with_revision(row.target, target.revision)
     else:
         row.warm_at = now + target.warmup
     was_leaving = row.target.leaving
     returned = row.gone_at != INFINITY
     row.target = target
-    row.distance = distance_to(tables, target)
-    row.order = order_of(row)
+    row.zone_penalty = zone_penalty(tables, target)
+    row.order = placement_order(row)
     row.gone_at = INFINITY
-    index_service(tables, row)
+    list_under_service(tables, row)
     if was_leaving != target.leaving or returned or row.flows == 0:
         log_target(row, actions)
     return True
 
 
-def is_old(row: TargetRow, target: Target) -> bool:
+def is_outdated(row: TargetRow, target: Target) -> bool:
     """Whether an entry tells nothing new of a target."""
     if row.gone_at != INFINITY:
         return target.revision < row.target.revision
     return target.revision <= row.target.revision
 
 
-def restates(row: TargetRow, target: Target) -> bool:
+def repeats_known_state(row: TargetRow, target: Target) -> bool:
     """Whether a copy of the store brings again what a target has said before.
 
     Its revision is new, since the store gives them out again. Believed, the entry would
@@ -187,7 +187,7 @@
     )
 
 
-def of_earlier_start(row: TargetRow, target: Target) -> bool:
+def is_of_earlier_start(row: TargetRow, target: Target) -> bool:
     """Whether an entry is not of the start of the target that is known.
 
     A write may take effect seconds after its writer has ended. One of the start before
@@ -198,7 +198,7 @@
     return known is not None and (target.started is None or target.started < known)
 
 
-def of_later_start(row: TargetRow, started: int | None) -> bool:
+def is_of_later_start(row: TargetRow, started: int | None) -> bool:
     """Whether a start of a target came after the one that is known."""
     known = row.target.started
     return known is not None and started is not None and started > known
@@ -216,17 +216,19 @@
     fields: dict[str, object] = {"entry": entry.name, "reason": entry.reason}
     actions.append(Log(ENTRY_UNREADABLE.number, fields))
     row = tables.targets.get(entry.name)
-    if row is None or not of_later_start(row, entry.started):
+    if row is None or not is_of_later_start(row, entry.started):
         return False
-    return remove_target(tables, Removed(entry.name, entry.revision), now, actions)
+    return remove_target(
+        tables, TargetRemoved(entry.name, entry.revision), now, actions
+    )
 
 
 def add_target(tables: Tables, target: Target, actions: list[Action]) -> TargetRow:
     """Make the row of a target that was not known."""
     row = TargetRow(target, token_of(target.incarnation))
-    row.rank = rank_of(tables.host_id, target.target_id)
-    row.distance = distance_to(tables, target)
-    row.order = order_of(row)
+    row.rank = tie_break_rank(tables.host_id, target.target_id)
+    row.zone_penalty = zone_penalty(tables, target)
+    row.order = placement_order(row)
     tables.targets[target.target_id] = row
     holder = tables.by_token.setdefault(row.token, row)
     if holder is not row:
@@ -238,7 +240,7 @@
     return row
 
 
-def index_service(tables: Tables, row: TargetRow) -> None:
+def list_under_service(tables: Tables, row: TargetRow) -> None:
     """List a target under its service, unless another holds its token.
 
     Flows of two targets under one token would reach the wrong one; the later of
@@ -251,7 +253,7 @@
         rows.append(row)
 
 
-def unlist_service(tables: Tables, row: TargetRow) -> None:
+def unlist_from_service(tables: Tables, row: TargetRow) -> None:
     """Give a target no new flows."""
     rows = tables.by_service.get(row.target.service, [])
     if row in rows:
@@ -278,7 +280,7 @@
 
 
 def remove_target(
-    tables: Tables, removed: Removed, now: float, actions: list[Action]
+    tables: Tables, removed: TargetRemoved, now: float, actions: list[Action]
 ) -> bool:
     """Give a target no new flows; those it has are still forwarded for a while.
 
@@ -290,7 +292,7 @@
     if removed.revision < row.target.revision:
         return False
     row.gone_at = now
-    unlist_service(tables, row)
+    unlist_from_service(tables, row)
     fields: dict[str, object] = {
         "target": removed.target_id,
         "revision": removed.revision,
@@ -337,14 +339,14 @@
                 drained.add(entry.zone)
             case Unreadable():
                 listed.add(entry.name)
-    short = services_in_short(tables, revision, now)
+    short = check_restored_services(tables, revision, now)
     for target_id, row in list(tables.targets.items()):
         known = row.target
         if target_id in listed or known.revision > revision:
             continue
         if known.service in short and is_of_earlier_epoch(known.revision, revision):
             continue
-        apply_change(tables, Removed(target_id, revision), now, actions)
+        apply_change(tables, TargetRemoved(target_id, revision), now, actions)
     for zone in tables.zone_readers.keys() - readers:
         apply_change(tables, ReaderRemoved(zone, revision), now, actions)
     for zone in tables.drained_zones:
@@ -355,7 +357,7 @@
             apply_change(tables, end, now, actions)
 
 
-def services_in_short(tables: Tables, revision: int, now: float) -> set[str]:
+def check_restored_services(tables: Tables, revision: int, now: float) -> set[str]:
     """Return services of which a store that came back from a copy lacks too many.
 
     Also begins the time that those have who write again.
@@ -365,10 +367,13 @@
     if not any(is_of_earlier_epoch(one, revision) for one in revisions):
         return set()
     # Imported when the store has come back from an older copy; a start needs none.
-    from citronspring.tokens.rewrites import await_rewrites, lacking_services
+    from citronspring.tokens.restore_grace import (
+        services_missing_targets,
+        start_restore_grace,
+    )
 
-    await_rewrites(tables, revision, now)
-    return lacking_services(tables, revision)
+    start_restore_grace(tables, revision, now)
+    return services_missing_targets(tables, revision)
 
 
 def known_revisions(tables: Tables) -> list[int]:
--- a/citronspring/tokens/flows.py
+++ b/citronspring/tokens/flows.py
@@ -48,17 +48,17 @@
 
 def start_request(flow: FlowRow, now: float) -> None:
     """Count a request as outstanding at the flow's target."""
-    flow.repeats = 0
+    flow.retransmissions = 0
     flow.sent_at = now
     if not flow.busy:
         flow.busy = True
-        flow.asked_at = now
+        flow.first_sent_at = now
         count_load(flow.target, busy=1)
 
 
 def end_request(flow: FlowRow) -> None:
     """Count the outstanding request as answered."""
-    flow.repeats = 0
+    flow.retransmissions = 0
     if flow.busy:
         flow.busy = False
         count_load(flow.target, busy=-1)
--- a/citronspring/tokens/following.py
+++ b/citronspring/tokens/following.py
@@ -9,19 +9,19 @@
 
 from citronspring.events import FOLLOWING, READER_LOST
 from citronspring.light_stdlib import TYPE_CHECKING
+from citronspring.tokens.change_feed import log_changes
 from citronspring.tokens.entries import ConfigurationChange
+from citronspring.tokens.entry_updates import apply_change
 from citronspring.tokens.messages import (
     AnswerTooLarge,
+    FeedAnswer,
     FollowReader,
     HistoryLost,
     Log,
-    ReaderNews,
     Refused,
     Unanswered,
 )
-from citronspring.tokens.news import note_news
-from citronspring.tokens.revisions import apply_change
-from citronspring.tokens.routes import fits
+from citronspring.tokens.routes import is_applicable
 
 if TYPE_CHECKING:
     from citronspring.tokens.entries import ZoneReader
@@ -31,11 +31,11 @@
 
 #: Seconds after a failure of the reader until it is asked again; doubled up to the
 #: longest. Meanwhile the store is read, so this only bounds calls to a dead host.
-FIRST_RETRY = 1.0
-LONGEST_RETRY = 8.0
+INITIAL_RETRY_PAUSE = 1.0
+MAX_RETRY_PAUSE = 8.0
 
 #: Doublings after which the longest is reached.
-MOST_DOUBLINGS = 3
+MAX_DOUBLINGS = 3
 
 
 def reader_to_follow(tables: Tables, now: float) -> ZoneReader | None:
@@ -65,10 +65,10 @@
     return FollowReader(reader.endpoint, tables.reader.revision, wait)
 
 
-def take_news(
+def apply_feed(
     tables: Tables,
     times: ReaderTimes,
-    answer: ReaderNews,
+    answer: FeedAnswer,
     sent_at: float,
     now: float,
     actions: list[Action],
@@ -82,31 +82,33 @@
     copy. Written again, that is no news to it, and its followers must read it.
     """
     for change in answer.changes:
-        if isinstance(change, ConfigurationChange) and not fits(tables, change):
-            lose_reader(tables, "a configuration is missing", now, actions)
+        if isinstance(change, ConfigurationChange) and not is_applicable(
+            tables, change
+        ):
+            stop_following(tables, "a configuration is missing", now, actions)
             return
         apply_change(tables, change, now, actions)
     if answer.configuration > tables.configuration:
-        lose_reader(tables, "a configuration is missing", now, actions)
+        stop_following(tables, "a configuration is missing", now, actions)
         return
     reader = tables.reader
     reader.revision = max(reader.revision, answer.revision)
-    note_news(tables, now)
+    log_changes(tables, now)
     confirmed_at = sent_at + answer.held - answer.age
     reader.current_at = max(reader.current_at, confirmed_at)
     if now - confirmed_at > times.follow_age:
-        lose_reader(tables, "behind", now, actions)
+        stop_following(tables, "behind", now, actions)
         return
     reader.call_at = now
     reader.failures = 0
-    reader.overdue = False
+    reader.wants_immediate_answer = False
     tables.follow.failures = 0
     if not tables.follow.following:
         tables.follow.following = True
-        actions.append(Log(FOLLOWING.number, reader_fields(tables, now)))
+        actions.append(Log(FOLLOWING.number, reader_log_fields(tables, now)))
 
 
-def take_failure(
+def handle_reader_failure(
     tables: Tables,
     answer: AnswerTooLarge | HistoryLost | Refused | Unanswered,
     now: float,
@@ -122,26 +124,28 @@
             cause = f"status {answer.status}"
         case Unanswered():
             cause = answer.cause
-    lose_reader(tables, cause, now, actions)
+    stop_following(tables, cause, now, actions)
 
 
-def lose_reader(tables: Tables, cause: str, now: float, actions: list[Action]) -> None:
+def stop_following(
+    tables: Tables, cause: str, now: float, actions: list[Action]
+) -> None:
     """Read the store at once, and ask the reader again later."""
     follow = tables.follow
-    doublings = min(follow.failures, MOST_DOUBLINGS)
+    doublings = min(follow.failures, MAX_DOUBLINGS)
     follow.failures += 1
-    follow.retry_at = now + min(FIRST_RETRY * 2.0**doublings, LONGEST_RETRY)
+    follow.retry_at = now + min(INITIAL_RETRY_PAUSE * 2.0**doublings, MAX_RETRY_PAUSE)
     tables.reader.call_at = now
-    tables.reader.overdue = True
+    tables.reader.wants_immediate_answer = True
     tables.counters["reader-failures"] += 1
     if follow.following:
         follow.following = False
-        fields = reader_fields(tables, now)
+        fields = reader_log_fields(tables, now)
         fields["cause"] = cause
         actions.append(Log(READER_LOST.number, fields))
 
 
-def reader_fields(tables: Tables, now: float) -> dict[str, object]:
+def reader_log_fields(tables: Tables, now: float) -> dict[str, object]:
     """Return what a log line tells of the reader and of what is known."""
     reader = tables.zone_readers.get(tables.zone)
     return {
--- a/citronspring/tokens/forwarding.py
+++ b/citronspring/tokens/forwarding.py
@@ -7,10 +7,10 @@
 from citronspring.tcp_flags import FIN, RST, SYN
 from citronspring.tokens.admission import note_answer_size, note_time_to_answer
 from citronspring.tokens.evidence import (
-    certainly_gone,
-    certainly_unreachable,
+    is_confirmed_unreachable,
+    is_removal_confirmed,
     note_answer,
-    note_repeat,
+    note_retransmission,
 )
 from citronspring.tokens.flows import (
     close_flow,
@@ -28,7 +28,7 @@
     ResetReason,
 )
 from citronspring.tokens.openings import (
-    move_opening,
+    move_flow,
     receive_opening,
     refuse_opening,
 )
@@ -46,7 +46,7 @@
 #: Seconds after the newest bytes from which older ones count as sent again. Ends
 #: wait 200 ms before they do; bytes of one burst overtake each other by some 5 ms,
 #: and taken for repetitions they would make every large upload count as silence.
-REPEAT_GAP = 0.15
+RETRANSMISSION_GAP = 0.15
 
 
 def receive_packet(
@@ -77,7 +77,7 @@
     elif packet.flags & SYN:
         receive_opening(tables, packet, route, now, actions)
     else:
-        receive_later(tables, packet, route, now, actions)
+        receive_established(tables, packet, route, now, actions)
 
 
 def receive_unrouted(packet: Packet, current: bool, actions: list[Action]) -> None:
@@ -97,14 +97,14 @@
 # Packets after the opening -----------------------------------------------------
 
 
-def receive_later(
+def receive_established(
     tables: Tables, packet: Packet, route: Route, now: float, actions: list[Action]
 ) -> None:
     """Forward a packet of a flow by its token, and note what it tells."""
     flow = tables.flows.get(packet.flow)
     if flow is None or not flow.open:
         row = tables.by_token.get(packet.token)
-        reason = unusable_token(tables, packet, row)
+        reason = token_drop_reason(tables, packet, row)
         if row is None or reason is not None:
             actions.append(Drop(packet, reason or DropReason.UNKNOWN_TOKEN))
             return
@@ -112,8 +112,8 @@
         if flow is None:
             actions.append(Forward(packet, row))
             return
-    observe(tables, packet, flow, now)
-    reason_to_reset = hopeless(tables, flow, packet, now)
+    update_flow(tables, packet, flow, now)
+    reason_to_reset = flow_reset_reason(tables, flow, packet, now)
     if reason_to_reset is not None:
         reset_flow(tables, packet, flow, reason_to_reset, now, actions)
         return
@@ -122,7 +122,7 @@
         close_flow(tables, packet.flow, flow)
 
 
-def unusable_token(
+def token_drop_reason(
     tables: Tables, packet: Packet, row: TargetRow | None
 ) -> DropReason | None:
     """Return why a token forwards nothing, None if it names a target of the route."""
@@ -152,11 +152,11 @@
         if flow is None:
             return None
     else:
-        tables.histograms["opening_answered"].record(now - flow.asked_at)
+        tables.histograms["opening_answered"].record(now - flow.first_sent_at)
         # Which of several tries it answered, and so when that was sent, is not known.
-        sent_at = flow.asked_at if len(flow.tried) == 1 else -INFINITY
+        sent_at = flow.first_sent_at if len(flow.tried) == 1 else -INFINITY
         if flow.target is not row:
-            move_opening(flow, row)
+            move_flow(flow, row)
         note_answer(tables, row, sent_at, now)
     flow.open = True
     flow.opening = None
@@ -165,7 +165,7 @@
     return flow
 
 
-def observe(tables: Tables, packet: Packet, flow: FlowRow, now: float) -> None:
+def update_flow(tables: Tables, packet: Packet, flow: FlowRow, now: float) -> None:
     """Note requests, answers and repetitions that a packet shows."""
     touch_flow(tables, flow, now)
     size = (packet.ack - flow.ack) & SEQ_MASK
@@ -173,8 +173,8 @@
         flow.ack = packet.ack
         if flow.busy and note_answer_size(tables.answer_row(flow.route), size, now):
             service = tables.service_row(flow.target.target.service)
-            note_time_to_answer(service, now - flow.asked_at, now)
-        note_answer(tables, flow.target, flow.asked_at, now)
+            note_time_to_answer(service, now - flow.first_sent_at, now)
+        note_answer(tables, flow.target, flow.first_sent_at, now)
         end_request(flow)
     if not packet.length:
         return
@@ -182,12 +182,12 @@
     if 0 < (end - flow.next_seq) & SEQ_MASK < SEQ_HALF:
         flow.next_seq = end
         start_request(flow, now)
-    elif flow.busy and now - flow.sent_at >= REPEAT_GAP:
+    elif flow.busy and now - flow.sent_at >= RETRANSMISSION_GAP:
         flow.sent_at = now
-        note_repeat(tables, flow, now)
+        note_retransmission(tables, flow, now)
 
 
-def hopeless(
+def flow_reset_reason(
     tables: Tables, flow: FlowRow, packet: Packet, now: float
 ) -> ResetReason | None:
     """Return why a flow cannot go on, None if it may.
@@ -197,9 +197,9 @@
     """
     if not flow.idempotent or not packet.length:
         return None
-    if certainly_gone(tables, flow.target, now):
+    if is_removal_confirmed(tables, flow.target, now):
         return ResetReason.TARGET_GONE
-    if certainly_unreachable(tables, flow, now):
+    if is_confirmed_unreachable(tables, flow, now):
         return ResetReason.TARGET_UNREACHABLE
     return None
 
@@ -220,8 +220,8 @@
         "reason": reason.value,
         "target": row.target.target_id,
         "silent": round(now - row.silent_since, 3),
-        "silences": row.silences,
-        "repeats": row.repeats,
+        "silences": row.timeouts,
+        "repeats": row.retransmissions,
     }
     actions.append(Log(FLOW_RESET.number, fields))
     close_flow(tables, packet.flow, flow)
--- a/citronspring/tokens/inquiry.py
+++ b/citronspring/tokens/inquiry.py
@@ -15,12 +15,12 @@
 
 from citronspring.events import INQUIRY_ENDED, TARGET_LOST
 from citronspring.light_stdlib import INFINITY, TYPE_CHECKING
-from citronspring.tokens.election import holds_zone
+from citronspring.tokens.election import is_zone_reader
 from citronspring.tokens.entities import token_of
+from citronspring.tokens.local_path import is_lossy
 from citronspring.tokens.messages import Log, Tell
-from citronspring.tokens.own_path import is_lossy
 from citronspring.tokens.suspicions import (
-    MOST_SUSPICIONS,
+    MAX_SUSPICIONS,
     Inquiry,
     Reply,
     Report,
@@ -33,45 +33,45 @@
     from citronspring.tokens.messages import Action
     from citronspring.tokens.rows import TargetRow
     from citronspring.tokens.suspicions import HostMessage
-    from citronspring.tokens.tables import InquiryTable, Tables
+    from citronspring.tokens.tables import InquiryState, Tables
 
 #: Requests of different flows, sent again in vain, that make the reader ask, and the
 #: hosts that must have seen them. So many in a row, with no answer between, are no
 #: chance even where links lose one datagram of twenty.
-WITNESSES = 4
-WITNESSING_HOSTS = 2
+MIN_WITNESSES = 4
+MIN_WITNESS_HOSTS = 2
 
 #: Seconds for which a report counts.
-REPORT_LASTS = 1.0
+REPORT_LIFETIME = 1.0
 
 #: Seconds that the reader waits for replies: fifty times the way within a zone, and
 #: as long as a busy host takes for a turn.
-REPLY_WAIT = 0.1
+REPLY_TIMEOUT = 0.1
 
 #: Seconds until the reader asks about the same target again.
-ASK_PAUSE = 0.3
+INQUIRY_PAUSE = 0.3
 
 #: Share of the hosts asked that must reply. A reader that is half cut off, or whose
 #: link is full, hears from fewer and believes nothing.
 QUORUM = 2 / 3
 
 #: Seconds within which a host that has asked for news counts as one of the zone.
-MEMBER_LASTS = 6.0
+MEMBER_TIMEOUT = 6.0
 
 #: Targets that had answered after all, in the last seconds, from which on reports are
 #: put down to lossy links and believed no more; and their share of those that nobody
 #: had heard, up to which they are not. Where many targets die at once, some have
 #: answered just before, and the others are no less dead.
-MOST_DENIALS = 2
-DENIED_SHARE = 0.25
-DENIALS_LAST = 3.0
+MAX_REFUTATIONS = 2
+REFUTED_RATIO = 0.25
+REFUTATION_WINDOW = 3.0
 
 #: Seconds by which what was sent is taken to be older than the message says: its way
 #: and a turn of either process.
 AGE_MARGIN = 0.02
 
 #: Seconds for which a target counts as lost after a verdict.
-VERDICT_LASTS = 2.0
+VERDICT_LIFETIME = 2.0
 
 
 # At every host ----------------------------------------------------------------------
@@ -83,25 +83,25 @@
     if not fresh:
         return
     tables.suspected = []
-    path = tables.own_path
+    path = tables.local_path
     if is_lossy(path, now):
         return
     suspicions = [
         Suspicion(row.target.incarnation, now - sent_at)
         for row, sent_at in fresh
         if sent_at > path.disturbed_at
-    ][:MOST_SUSPICIONS]
+    ][:MAX_SUSPICIONS]
     reader = tables.zone_readers.get(tables.zone)
     if not suspicions or reader is None:
         return
     report = Report(tuple(suspicions))
-    if holds_zone(tables):
-        take_report(tables, report, tables.host_id, now)
+    if is_zone_reader(tables):
+        record_report(tables, report, tables.host_id, now)
     else:
         actions.append(Tell(reader.endpoint.ip, report))
 
 
-def take_host_message(
+def handle_host_message(
     tables: Tables, message: HostMessage, source: str, now: float, actions: list[Action]
 ) -> None:
     """Take what another host of the zone says.
@@ -122,21 +122,21 @@
     reader = tables.zone_readers.get(tables.zone)
     from_reader = reader is not None and source == reader.endpoint.ip
     match message:
-        case Report() if holds_zone(tables):
-            take_report(tables, message, source, now)
-        case Reply() if holds_zone(tables):
-            take_reply(tables, message, source)
+        case Report() if is_zone_reader(tables):
+            record_report(tables, message, source, now)
+        case Reply() if is_zone_reader(tables):
+            record_reply(tables, message, source)
         case Inquiry() if from_reader:
-            reply_to(tables, message, source, now, actions)
+            reply_to_inquiry(tables, message, source, now, actions)
         case Verdict() if from_reader:
             for suspicion in message.suspicions:
-                take_loss(tables, suspicion, now, actions)
+                apply_verdict(tables, suspicion, now, actions)
         case _:
             # Who has just become the reader, or was it, is not agreed on yet.
             tables.counters["host-messages-unused"] += 1
 
 
-def reply_to(
+def reply_to_inquiry(
     tables: Tables, inquiry: Inquiry, reader: str, now: float, actions: list[Action]
 ) -> None:
     """Tell the reader which targets have answered here.
@@ -144,7 +144,7 @@
     A host that stood still has perhaps not read their answers, and says nothing.
     """
     oldest = max((one.age for one in inquiry.suspicions), default=0.0)
-    if now - oldest - AGE_MARGIN <= tables.own_path.disturbed_at:
+    if now - oldest - AGE_MARGIN <= tables.local_path.disturbed_at:
         return
     answered = tuple(
         one.incarnation
@@ -154,7 +154,7 @@
     actions.append(Tell(reader, Reply(inquiry.number, answered)))
 
 
-def row_of(tables: Tables, incarnation: int) -> TargetRow | None:
+def find_row(tables: Tables, incarnation: int) -> TargetRow | None:
     """Return the row of a start of a target."""
     row = tables.by_token.get(token_of(incarnation))
     return row if row is not None and row.target.incarnation == incarnation else None
@@ -162,23 +162,23 @@
 
 def has_answered(tables: Tables, incarnation: int, since: float) -> bool:
     """Whether anything that a target sent since then has shown here."""
-    row = row_of(tables, incarnation)
+    row = find_row(tables, incarnation)
     return row is not None and row.answered_at >= since
 
 
-def take_loss(
+def apply_verdict(
     tables: Tables, suspicion: Suspicion, now: float, actions: list[Action]
 ) -> None:
     """Take that no host of the zone has heard of a target, unless this one has.
 
     What was said of an earlier start of it counts for nothing.
     """
-    row = row_of(tables, suspicion.incarnation)
+    row = find_row(tables, suspicion.incarnation)
     since = now - suspicion.age - AGE_MARGIN
     if row is None or max(row.answered_at, row.known_at) >= since:
         return
     row.lost_since = since
-    row.lost_until = now + VERDICT_LASTS
+    row.lost_until = now + VERDICT_LIFETIME
     row.avoid_until = max(row.avoid_until, row.lost_until)
     fields: dict[str, object] = {
         "target": row.target.target_id,
@@ -197,7 +197,7 @@
         tables.inquiry.members[host] = now
 
 
-def take_report(tables: Tables, report: Report, host: str, now: float) -> None:
+def record_report(tables: Tables, report: Report, host: str, now: float) -> None:
     """Keep what a host reports."""
     for suspicion in report.suspicions:
         witness = Witness(host, now - suspicion.age, now)
@@ -205,17 +205,17 @@
         witnesses.setdefault(suspicion.incarnation, []).append(witness)
 
 
-def take_reply(tables: Tables, reply: Reply, host: str) -> None:
+def record_reply(tables: Tables, reply: Reply, host: str) -> None:
     """Take a host's reply to the question that is being asked."""
     inquiry = tables.inquiry.open
     if inquiry is None or inquiry.number != reply.number:
         return
     if host in inquiry.members:
         inquiry.replied.add(host)
-        inquiry.denied.update(reply.answered)
+        inquiry.refuted.update(reply.answered)
 
 
-def inquire(tables: Tables, now: float, actions: list[Action]) -> None:
+def advance_inquiry(tables: Tables, now: float, actions: list[Action]) -> None:
     """End the question that is being asked, and ask the next one if there is one."""
     table = tables.inquiry
     inquiry = table.open
@@ -228,7 +228,7 @@
         begin_inquiry(tables, now, actions)
 
 
-def next_inquiry_deadline(table: InquiryTable) -> float:
+def next_inquiry_deadline(table: InquiryState) -> float:
     """Return the time at which a question ends, infinite while none is asked."""
     return table.open.deadline if table.open is not None else INFINITY
 
@@ -240,30 +240,31 @@
     since = {
         incarnation: silent_since(witnesses)
         for incarnation, witnesses in table.witnesses.items()
-        if suffices(witnesses) and table.retry_at.get(incarnation, now) <= now
+        if has_enough_witnesses(witnesses)
+        and table.retry_at.get(incarnation, now) <= now
     }
-    since = dict(list(since.items())[:MOST_SUSPICIONS])
-    if not since or not holds_zone(tables):
+    since = dict(list(since.items())[:MAX_SUSPICIONS])
+    if not since or not is_zone_reader(tables):
         return
     table.members = {
         host: asked_at
         for host, asked_at in table.members.items()
-        if now - asked_at <= MEMBER_LASTS
+        if now - asked_at <= MEMBER_TIMEOUT
     }
     members = set(table.members)
     table.number += 1
     table.open = OpenInquiry(
-        table.number, now + REPLY_WAIT, members, since, set(), set()
+        table.number, now + REPLY_TIMEOUT, members, since, set(), set()
     )
-    table.retry_at.update(dict.fromkeys(since, now + ASK_PAUSE))
+    table.retry_at.update(dict.fromkeys(since, now + INQUIRY_PAUSE))
     message = Inquiry(table.number, suspicions_of(since, now))
     actions += [Tell(host, message) for host in members]
 
 
-def forget_witnesses(table: InquiryTable, now: float) -> None:
+def forget_witnesses(table: InquiryState, now: float) -> None:
     """Let go of reports that count no more."""
     for incarnation, witnesses in list(table.witnesses.items()):
-        fresh = [one for one in witnesses if now - one.heard_at <= REPORT_LASTS]
+        fresh = [one for one in witnesses if now - one.heard_at <= REPORT_LIFETIME]
         if fresh:
             table.witnesses[incarnation] = fresh
         else:
@@ -271,10 +272,10 @@
             table.retry_at.pop(incarnation, None)
 
 
-def suffices(witnesses: list[Witness]) -> bool:
+def has_enough_witnesses(witnesses: list[Witness]) -> bool:
     """Whether enough requests were sent again, at enough hosts."""
     hosts = {one.host for one in witnesses}
-    return len(witnesses) >= WITNESSES and len(hosts) >= WITNESSING_HOSTS
+    return len(witnesses) >= MIN_WITNESSES and len(hosts) >= MIN_WITNESS_HOSTS
 
 
 def silent_since(witnesses: list[Witness]) -> float:
@@ -282,7 +283,7 @@
 
     An answer between them shows that the older ones were lost on their way.
     """
-    return sorted(one.sent_at for one in witnesses)[-WITNESSES]
+    return sorted(one.sent_at for one in witnesses)[-MIN_WITNESSES]
 
 
 def suspicions_of(since: dict[int, float], now: float) -> tuple[Suspicion, ...]:
@@ -290,7 +291,7 @@
     return tuple(Suspicion(number, now - at) for number, at in since.items())
 
 
-def heard_enough(inquiry: OpenInquiry) -> bool:
+def has_quorum(inquiry: OpenInquiry) -> bool:
     """Whether so many hosts have replied that the question came through."""
     return len(inquiry.replied) >= max(QUORUM * len(inquiry.members), 1)
 
@@ -303,17 +304,17 @@
     denied = {
         incarnation
         for incarnation, since in inquiry.since.items()
-        if incarnation in inquiry.denied or has_answered(tables, incarnation, since)
+        if incarnation in inquiry.refuted or has_answered(tables, incarnation, since)
     }
-    note_denials(table, denied, now)
+    note_refutations(table, denied, now)
     lost = {
         incarnation: since
         for incarnation, since in inquiry.since.items()
         if incarnation not in denied
     }
-    if heard_enough(inquiry):
-        table.unheard_at.update(dict.fromkeys(lost, now))
-    if not is_believed(tables, inquiry, now):
+    if has_quorum(inquiry):
+        table.unrefuted_at.update(dict.fromkeys(lost, now))
+    if not is_conclusive(tables, inquiry, now):
         lost = {}
     fields: dict[str, object] = {
         "asked": len(inquiry.members),
@@ -324,32 +325,34 @@
     }
     actions.append(Log(INQUIRY_ENDED.number, fields))
     if lost:
-        announce(tables, inquiry, lost, now, actions)
+        send_verdict(tables, inquiry, lost, now, actions)
 
 
-def note_denials(table: InquiryTable, denied: set[int], now: float) -> None:
+def note_refutations(table: InquiryState, denied: set[int], now: float) -> None:
     """Take that targets had answered after all; their reports count no more."""
     for incarnation in denied:
         table.witnesses.pop(incarnation, None)
-        table.denied_at.append(now)
-    while table.denied_at and now - table.denied_at[0] > DENIALS_LAST:
-        table.denied_at.popleft()
+        table.refuted_at.append(now)
+    while table.refuted_at and now - table.refuted_at[0] > REFUTATION_WINDOW:
+        table.refuted_at.popleft()
 
 
-def is_believed(tables: Tables, inquiry: OpenInquiry, now: float) -> bool:
+def is_conclusive(tables: Tables, inquiry: OpenInquiry, now: float) -> bool:
     """Whether silence of the hosts shows anything now."""
     table = tables.inquiry
-    table.unheard_at = {
+    table.unrefuted_at = {
         incarnation: unheard_at
-        for incarnation, unheard_at in table.unheard_at.items()
-        if now - unheard_at <= DENIALS_LAST
+        for incarnation, unheard_at in table.unrefuted_at.items()
+        if now - unheard_at <= REFUTATION_WINDOW
     }
-    denials = len(table.denied_at)
-    few = denials < MOST_DENIALS or denials <= DENIED_SHARE * len(table.unheard_at)
-    return heard_enough(inquiry) and few and not is_lossy(tables.own_path, now)
+    denials = len(table.refuted_at)
+    few = denials < MAX_REFUTATIONS or denials <= REFUTED_RATIO * len(
+        table.unrefuted_at
+    )
+    return has_quorum(inquiry) and few and not is_lossy(tables.local_path, now)
 
 
-def announce(
+def send_verdict(
     tables: Tables,
     inquiry: OpenInquiry,
     lost: dict[int, float],
@@ -363,4 +366,4 @@
     suspicions = suspicions_of(lost, now)
     actions += [Tell(host, Verdict(suspicions)) for host in inquiry.members]
     for suspicion in suspicions:
-        take_loss(tables, suspicion, now, actions)
+        apply_verdict(tables, suspicion, now, actions)
--- a/citronspring/tokens/report.py
+++ b/citronspring/tokens/introspection.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from citronspring.light_stdlib import INFINITY
-from citronspring.tokens.admission import known_delay
+from citronspring.tokens.admission import current_delay
 from citronspring.tokens.entries import count_of, epoch_of
 
 if TYPE_CHECKING:
@@ -42,13 +42,13 @@
                 "gone_for": seconds(now - row.gone_at),
                 "flows": row.flows,
                 "busy": row.busy,
-                "silences": row.silences,
+                "silences": row.timeouts,
                 "avoid_for": seconds(row.avoid_until - now),
             }
             for target_id, row in sorted(tables.targets.items())
         },
         "services": {
-            name: {"delay": seconds(known_delay(tables, name, now))}
+            name: {"delay": seconds(current_delay(tables, name, now))}
             for name in sorted(tables.services)
         },
         "counters": dict(sorted(tables.counters.items())),
@@ -75,7 +75,7 @@
         lines.append(f"{PREFIX}_{name} {value:g}")
     lines.append(f"# TYPE {PREFIX}_service_delay_seconds gauge")
     for service in sorted(tables.services):
-        delay = known_delay(tables, service, now)
+        delay = current_delay(tables, service, now)
         lines.append(f'{PREFIX}_service_delay_seconds{{service="{service}"}} {delay:g}')
     lines.append(f"# TYPE {PREFIX}_zone_drained gauge")
     for zone in sorted(tables.zone_drains):
--- a/citronspring/tokens/own_path.py
+++ b/citronspring/tokens/local_path.py
@@ -9,10 +9,10 @@
 from __future__ import annotations
 
 from citronspring.light_stdlib import TYPE_CHECKING
-from citronspring.tokens.rows import Answered, Repeated
+from citronspring.tokens.rows import AnsweredRequest, RetransmittedRequest
 
 if TYPE_CHECKING:
-    from citronspring.tokens.rows import OwnPath, TargetRow
+    from citronspring.tokens.rows import LocalPath, TargetRow
     from citronspring.tokens.tables import Tables
 
 #: Seconds for which answers and repetitions are kept. A queue of half a second on the
@@ -21,36 +21,40 @@
 
 #: Answers of other targets to packets sent after the one that stayed unanswered. One
 #: may be chance: at a link that drops half of what it should carry, half gets through.
-CONTROLS = 2
+MIN_CONTROL_ANSWERS = 2
 
 #: Share of the other requests that may have been sent again meanwhile, relative to what
 #: was answered. A seventh of the targets may have crashed at once; a link that drops a
 #: fifth of what it should carry loses two copies in a row by the dozen.
-MOST_LOSSES = 0.25
+MAX_LOSS_RATIO = 0.25
 
 #: Requests lost on ways that work, within the window, from which on the host's own path
 #: is lossy, and their share of what was answered. Calm links lose one datagram of
 #: 5,000, so that two in a window are rare; while links between zones lose 3 of 100
 #: nothing is certain.
-FEW_LOSSES = 2
-LOSSY_SHARE = 0.01
+MIN_LOSSES = 2
+LOSSY_RATIO = 0.01
 
 
-def note_answered(path: OwnPath, row: TargetRow, sent_at: float, now: float) -> None:
+def note_answered_request(
+    path: LocalPath, row: TargetRow, sent_at: float, now: float
+) -> None:
     """Take that a target has answered what was sent to it at a time."""
-    path.answers.append(Answered(row, sent_at, now))
+    path.answers.append(AnsweredRequest(row, sent_at, now))
     while path.answers[0].answered_at < now - WINDOW:
         path.answers.popleft()
 
 
-def note_repeated(path: OwnPath, row: TargetRow, sent_at: float, now: float) -> None:
+def note_retransmitted_request(
+    path: LocalPath, row: TargetRow, sent_at: float, now: float
+) -> None:
     """Take that a request that was sent to a target at a time was sent again."""
-    path.repeats.append(Repeated(row, sent_at, now))
-    while path.repeats[0].repeated_at < now - WINDOW:
-        path.repeats.popleft()
+    path.retransmissions.append(RetransmittedRequest(row, sent_at, now))
+    while path.retransmissions[0].retransmitted_at < now - WINDOW:
+        path.retransmissions.popleft()
 
 
-def note_disturbance(path: OwnPath, now: float) -> None:
+def note_disturbance(path: LocalPath, now: float) -> None:
     """Take that the host stood still, or could not send.
 
     What it sent or received before may have been lost here.
@@ -58,7 +62,7 @@
     path.disturbed_at = now
 
 
-def works(
+def local_path_works(
     tables: Tables,
     row: TargetRow,
     since: float,
@@ -81,7 +85,7 @@
     whole_zone : bool
         Whether the other targets of its zone are silent too, and tell nothing.
     """
-    path = tables.own_path
+    path = tables.local_path
     if since <= path.disturbed_at or is_lossy(path, now):
         return False
 
@@ -94,16 +98,18 @@
         if answer.answered_at < since:
             break
         answers += answer.sent_at > since and tells(answer.target)
-    if answers < CONTROLS:
+    if answers < MIN_CONTROL_ANSWERS:
         return False
     losses = sum(
-        one.repeated_at >= since and tells(one.target) and in_reach(tables, one, since)
-        for one in path.repeats
+        one.retransmitted_at >= since
+        and tells(one.target)
+        and zone_answers(tables, one, since)
+        for one in path.retransmissions
     )
-    return losses <= MOST_LOSSES * answers
+    return losses <= MAX_LOSS_RATIO * answers
 
 
-def in_reach(tables: Tables, repeated: Repeated, since: float) -> bool:
+def zone_answers(tables: Tables, repeated: RetransmittedRequest, since: float) -> bool:
     """Whether the zone of a request's target has answered what was sent since.
 
     A host whose own zone is cut off loses all that it sends to the others, which says
@@ -113,7 +119,7 @@
     return zone is not None and zone.answered_sent_at > since
 
 
-def is_lossy(path: OwnPath, now: float) -> bool:
+def is_lossy(path: LocalPath, now: float) -> bool:
     """Whether packets were lost, in the last seconds, on ways that work.
 
     A target that has answered since a request to it was sent again is there: the
@@ -121,6 +127,7 @@
     nothing is heard again.
     """
     losses = sum(
-        one.target.answered_at > one.repeated_at >= now - WINDOW for one in path.repeats
+        one.target.answered_at > one.retransmitted_at >= now - WINDOW
+        for one in path.retransmissions
     )
-    return losses >= FEW_LOSSES and losses > LOSSY_SHARE * len(path.answers)
+    return losses >= MIN_LOSSES and losses > LOSSY_RATIO * len(path.answers)
--- a/citronspring/tokens/messages.py
+++ b/citronspring/tokens/messages.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from citronspring.endpoints import Endpoint
     from citronspring.tokens.entities import Packet
-    from citronspring.tokens.entries import Change, Configuration, Entry, News
+    from citronspring.tokens.entries import Change, Configuration, Entry, FeedChange
     from citronspring.tokens.rows import TargetRow
     from citronspring.tokens.suspicions import HostMessage
 
@@ -173,7 +173,7 @@
 
 
 @record
-class PeerCopy:
+class PeerSnapshot:
     """What another host knows."""
 
     configuration: Configuration
@@ -185,14 +185,14 @@
     age: float
     #: Whether it holds all kinds of entries; hosts of the first release leave drains
     #: out.
-    whole: bool
+    complete: bool
 
 
 @record
-class ReaderNews:
+class FeedAnswer:
     """What the zone's reader has read above a revision."""
 
-    changes: tuple[News, ...]
+    changes: tuple[FeedChange, ...]
     #: Revision of the store that the reader stands at.
     revision: int
     #: Seconds, when it answered, since it knew that nothing else had changed.
@@ -204,10 +204,10 @@
 
 
 StoreAnswer = (
-    PeerCopy
+    PeerSnapshot
     | Page
     | Changes
-    | ReaderNews
+    | FeedAnswer
     | HistoryLost
     | AnswerTooLarge
     | Refused
--- a/citronspring/tokens/openings.py
+++ b/citronspring/tokens/openings.py
@@ -4,8 +4,8 @@
 
 from citronspring.events import OPENING_PLACED, OPENING_REFUSED
 from citronspring.light_stdlib import TYPE_CHECKING, heappop, heappush
-from citronspring.tokens.admission import admits, known_delay
-from citronspring.tokens.evidence import note_silence
+from citronspring.tokens.admission import current_delay, is_admitted
+from citronspring.tokens.evidence import note_timeout
 from citronspring.tokens.flows import close_flow, start_flow
 from citronspring.tokens.messages import (
     Drop,
@@ -33,15 +33,15 @@
 #: The way to the target, to the caller and back takes under 8 ms on the links of
 #: today; a slow target answers an opening within 2 ms. Far below the 200 ms after
 #: which a caller sends its opening again by itself.
-OPENING_ANSWER = 0.03
+OPENING_ANSWER_TIMEOUT = 0.03
 
 #: Targets that one packet of the caller is sent to at most.
-MOST_TARGETS = 3
+MAX_TARGETS_PER_OPENING = 3
 
 #: Seconds after which an overdue opening is let go. The process stood still; the
 #: caller has sent copies since, perhaps through another host, and one more opening
 #: would answer a flow that is open elsewhere.
-LATE_TIMER = 0.2
+MAX_TIMER_DELAY = 0.2
 
 
 def receive_opening(
@@ -61,10 +61,10 @@
     if flow is None:
         place_opening(tables, packet, route, None, now, actions)
     else:
-        receive_copy(tables, packet, route, flow, now, actions)
+        receive_retransmitted_opening(tables, packet, route, flow, now, actions)
 
 
-def receive_copy(
+def receive_retransmitted_opening(
     tables: Tables,
     packet: Packet,
     route: Route,
@@ -79,8 +79,8 @@
         actions.append(Drop(packet, DropReason.ZONE_DRAINED))
     elif flow.open:
         actions.append(Forward(packet, flow.target))
-    elif now - flow.asked_at >= OPENING_ANSWER:
-        note_silence(tables, flow.target, flow.asked_at, now)
+    elif now - flow.first_sent_at >= OPENING_ANSWER_TIMEOUT:
+        note_timeout(tables, flow.target, flow.first_sent_at, now)
         place_opening(tables, packet, route, flow, now, actions)
     elif drained:
         place_opening(tables, packet, route, flow, now, actions)
@@ -100,7 +100,7 @@
     """Choose a target for an opening and send it there."""
     tried = flow.tried if flow is not None else []
     service = choose_service(route, packet.seq)
-    if flow is None and not is_let_in(tables, packet, route, service, now):
+    if flow is None and not passes_admission(tables, packet, route, service, now):
         refuse_overload(tables, packet, route, service, now, actions)
         return
     target = find_target(tables, service, tried, now)
@@ -113,14 +113,14 @@
     if flow is None:
         flow = start_flow(tables, packet, route, target, now)
     else:
-        move_opening(flow, target)
+        move_flow(flow, target)
     if flow is not None:
-        await_answer(tables, packet, flow, now)
+        await_opening_answer(tables, packet, flow, now)
     note_placed(target, now)
     actions.append(Forward(packet, target))
 
 
-def is_let_in(
+def passes_admission(
     tables: Tables, packet: Packet, route: Route, service: str | None, now: float
 ) -> bool:
     """Whether an opening that was not placed here may be.
@@ -130,7 +130,7 @@
     """
     if service is None or packet.ack:
         return True
-    return admits(tables, packet, route, service, now)
+    return is_admitted(tables, packet, route, service, now)
 
 
 def find_target(
@@ -142,7 +142,7 @@
     return choose_target(tables, service, tried, now)
 
 
-def move_opening(flow: FlowRow, target: TargetRow) -> None:
+def move_flow(flow: FlowRow, target: TargetRow) -> None:
     """Count an unanswered opening at another target."""
     count_load(flow.target, flows=-1)
     flow.target = target
@@ -216,7 +216,7 @@
     actions: list[Action],
 ) -> None:
     """Refuse an opening whose request would be late, and say what decided that."""
-    delay = known_delay(tables, service, now) if service is not None else 0.0
+    delay = current_delay(tables, service, now) if service is not None else 0.0
     refuse_opening(
         packet,
         ResetReason.OVERLOADED,
@@ -230,27 +230,29 @@
     )
 
 
-def await_answer(tables: Tables, packet: Packet, flow: FlowRow, now: float) -> None:
+def await_opening_answer(
+    tables: Tables, packet: Packet, flow: FlowRow, now: float
+) -> None:
     """Have an opening looked at again once its answer is overdue."""
     flow.opening = packet
-    flow.asked_at = now
+    flow.first_sent_at = now
     flow.tried.append(flow.target)
-    heappush(tables.opening_deadlines, (now + OPENING_ANSWER, packet.flow))
+    heappush(tables.opening_deadlines, (now + OPENING_ANSWER_TIMEOUT, packet.flow))
 
 
-def overdue_openings(tables: Tables, now: float) -> list[bytes]:
+def unanswered_openings(tables: Tables, now: float) -> list[bytes]:
     """Return the flows whose openings went unanswered, and note the silence."""
     overdue = []
     deadlines = tables.opening_deadlines
     while deadlines and deadlines[0][0] <= now:
         deadline, key = heappop(deadlines)
         flow = tables.flows.get(key)
-        if flow is None or flow.open or now - deadline > LATE_TIMER:
+        if flow is None or flow.open or now - deadline > MAX_TIMER_DELAY:
             continue
-        if flow.asked_at > deadline - OPENING_ANSWER:
+        if flow.first_sent_at > deadline - OPENING_ANSWER_TIMEOUT:
             # It was sent once more since; that opening has a deadline of its own.
             continue
-        note_silence(tables, flow.target, flow.asked_at, now)
-        if len(flow.tried) < MOST_TARGETS:
+        note_timeout(tables, flow.target, flow.first_sent_at, now)
+        if len(flow.tried) < MAX_TARGETS_PER_OPENING:
             overdue.append(key)
     return overdue
--- a/citronspring/tokens/copies.py
+++ b/citronspring/tokens/peer_snapshot.py
@@ -5,18 +5,18 @@
 from citronspring.json_text import dumps
 from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.tokens.codec import (
-    FORMAT,
-    UNUSABLE,
+    DECODE_ERRORS,
+    FORMAT_VERSION,
+    decode_body,
     decode_configuration,
     decode_target,
     decode_zone_drain,
-    pack,
-    plain_route,
-    plain_target,
-    plain_zone_drain,
-    unpack,
+    encode_body,
+    encode_route,
+    encode_target,
+    encode_zone_drain,
 )
-from citronspring.tokens.messages import PeerCopy, Refused, Unanswered
+from citronspring.tokens.messages import PeerSnapshot, Refused, Unanswered
 
 if TYPE_CHECKING:
     from typing import Any
@@ -25,50 +25,50 @@
 
 #: Status of an answer that holds a copy, and of a peer that has none to give.
 OK = 200
-NOTHING_KNOWN = 503
+NO_CONFIGURATION = 503
 
 
-def encode_copy(tables: Tables, now: float) -> tuple[int, bytes]:
+def encode_snapshot(tables: Tables, now: float) -> tuple[int, bytes]:
     """Return status and body of the answer to a peer that asks for a copy."""
     if tables.configuration == 0:
-        return NOTHING_KNOWN, b"no configuration is known here\n"
+        return NO_CONFIGURATION, b"no configuration is known here\n"
     rows = [row for row in tables.targets.values() if row.gone_at > now]
     body = {
-        "format": FORMAT,
+        "format": FORMAT_VERSION,
         "revision": tables.reader.revision,
         "age": max(now - tables.reader.current_at, 0.0),
-        "configuration": plain_configuration(tables),
+        "configuration": encode_configuration(tables),
         "targets": [
-            plain_target(row.target, max(row.warm_at - now, 0.0)) for row in rows
+            encode_target(row.target, max(row.warm_at - now, 0.0)) for row in rows
         ],
-        "drains": [plain_zone_drain(drain) for drain in tables.zone_drains.values()],
+        "drains": [encode_zone_drain(drain) for drain in tables.zone_drains.values()],
     }
-    return OK, pack(dumps(body))
+    return OK, encode_body(dumps(body))
 
 
-def plain_configuration(tables: Tables) -> dict[str, Any]:
+def encode_configuration(tables: Tables) -> dict[str, Any]:
     """Return the configuration in force as plain values."""
     return {
         "revision": tables.configuration,
         "idle_timeout": tables.idle_timeout,
-        "routes": [plain_route(route) for route in tables.routes.values()],
+        "routes": [encode_route(route) for route in tables.routes.values()],
     }
 
 
-def decode_copy(status: int, body: bytes) -> PeerCopy | Refused | Unanswered:
+def decode_snapshot(status: int, body: bytes) -> PeerSnapshot | Refused | Unanswered:
     """Return the copy in a peer's answer."""
     if status != OK:
         return Refused(status)
     try:
-        found = unpack(body)
+        found = decode_body(body)
         targets = [decode_target(target) for target in found["targets"]]
         drains = [decode_zone_drain(drain) for drain in found.get("drains", ())]
-        return PeerCopy(
+        return PeerSnapshot(
             decode_configuration(found["configuration"]),
             (*targets, *drains),
             int(found["revision"]),
             float(found["age"]),
-            whole=found.get("format") == FORMAT,
+            complete=found.get("format") == FORMAT_VERSION,
         )
-    except UNUSABLE as error:
+    except DECODE_ERRORS as error:
         return Unanswered(f"a copy that cannot be read: {error!r}")
--- a/citronspring/tokens/placement.py
+++ b/citronspring/tokens/placement.py
@@ -5,7 +5,7 @@
 from binascii import crc32
 
 from citronspring.light_stdlib import TYPE_CHECKING
-from citronspring.tokens.evidence import avoided, out_of_reach
+from citronspring.tokens.evidence import is_avoided, seems_unreachable
 
 if TYPE_CHECKING:
     from citronspring.tokens.entities import Route
@@ -18,7 +18,7 @@
 
 #: Load that a target of another zone counts as having. Below one request a slot, so
 #: that zone only decides between targets that are about equally busy.
-OTHER_ZONE_LOAD = 0.2
+OTHER_ZONE_PENALTY = 0.2
 
 
 def choose_service(route: Route, draw: int) -> str | None:
@@ -54,22 +54,22 @@
     if not rows:
         return None
     # Nearly always the least loaded of all will do; the others are not looked at.
-    best = min(rows, key=known_order)
+    best = min(rows, key=cached_order)
     if best not in tried and is_first_choice(tables, best, now):
         return best
     placeable = [row for row in rows if is_placeable(tables, row)]
     if not placeable:
         return None
-    usable = bearing(tables, placeable, now)
+    usable = prefer_warm(tables, placeable, now)
     fresh = [row for row in usable if row not in tried] or usable
-    sound = [row for row in fresh if not avoided(tables, row, now)] or fresh
-    return min(sound, key=known_order)
+    sound = [row for row in fresh if not is_avoided(tables, row, now)] or fresh
+    return min(sound, key=cached_order)
 
 
 def is_first_choice(tables: Tables, row: TargetRow, now: float) -> bool:
     """Whether nothing speaks against a target."""
     warm = row.warm_at <= now
-    return warm and is_placeable(tables, row) and not avoided(tables, row, now)
+    return warm and is_placeable(tables, row) and not is_avoided(tables, row, now)
 
 
 def is_placeable(tables: Tables, row: TargetRow) -> bool:
@@ -77,7 +77,7 @@
     return not row.target.leaving and not tables.is_drained(row.target.zone)
 
 
-def bearing(tables: Tables, rows: list[TargetRow], now: float) -> list[TargetRow]:
+def prefer_warm(tables: Tables, rows: list[TargetRow], now: float) -> list[TargetRow]:
     """Return the warm targets, or all if no warm one may be in reach.
 
     A cold target bears a few flows a second from all hosts together, and a host does
@@ -85,7 +85,7 @@
     that full or silent for a moment: under a rush all of them are.
     """
     warm = [row for row in rows if row.warm_at <= now]
-    if all(out_of_reach(tables, row, now) for row in warm):
+    if all(seems_unreachable(tables, row, now) for row in warm):
         return rows
     return warm
 
@@ -97,7 +97,7 @@
     return bool(staying) and not any(is_placeable(tables, row) for row in staying)
 
 
-def rank_of(host_id: str, target_id: str) -> int:
+def tie_break_rank(host_id: str, target_id: str) -> int:
     """Return a target's place among those that are alike to a host.
 
     Hosts that start together know of no load. In one order for all, their first flows
@@ -106,30 +106,30 @@
     return crc32(f"{host_id} {target_id}".encode())
 
 
-def distance_to(tables: Tables, target: Target) -> float:
+def zone_penalty(tables: Tables, target: Target) -> float:
     """Return the load that a target counts as having for its way."""
-    return 0.0 if target.zone == tables.zone else OTHER_ZONE_LOAD
+    return 0.0 if target.zone == tables.zone else OTHER_ZONE_PENALTY
 
 
-def known_order(row: TargetRow) -> tuple[float, float, int]:
+def cached_order(row: TargetRow) -> tuple[float, float, int]:
     """Return what targets are ordered by, as it was counted last."""
     return row.order
 
 
-def order_of(row: TargetRow) -> tuple[float, float, int]:
+def placement_order(row: TargetRow) -> tuple[float, float, int]:
     """Return how busy a target is for its size; of equals, the longest unused first."""
     load = (row.busy + IDLE_FLOW_LOAD * (row.flows - row.busy)) / row.target.slots
-    return load + row.distance, row.placed_at, row.rank
+    return load + row.zone_penalty, row.placed_at, row.rank
 
 
 def count_load(row: TargetRow, *, flows: int = 0, busy: int = 0) -> None:
     """Count flows, and requests at work, that a target has got or lost."""
     row.flows += flows
     row.busy += busy
-    row.order = order_of(row)
+    row.order = placement_order(row)
 
 
 def note_placed(row: TargetRow, now: float) -> None:
     """Take that a target has been given a flow."""
     row.placed_at = now
-    row.order = order_of(row)
+    row.order = placement_order(row)
--- a/citronspring/tokens/restarts.py
+++ b/citronspring/tokens/restarts.py
@@ -4,9 +4,13 @@
 
 from citronspring.events import TARGET_RESTARTED
 from citronspring.light_stdlib import TYPE_CHECKING
+from citronspring.tokens.entry_updates import (
+    add_target,
+    release_token,
+    unlist_from_service,
+)
 from citronspring.tokens.flows import close_flow
 from citronspring.tokens.messages import Log
-from citronspring.tokens.revisions import add_target, release_token, unlist_service
 
 if TYPE_CHECKING:
     from citronspring.tokens.entries import Target
@@ -27,7 +31,7 @@
     flows = [key for key, flow in tables.flows.items() if flow.target is row]
     for key in flows:
         close_flow(tables, key, tables.flows[key])
-    unlist_service(tables, row)
+    unlist_from_service(tables, row)
     release_token(tables, row)
     fields: dict[str, object] = {
         "target": target.target_id,
--- a/citronspring/tokens/rewrites.py
+++ b/citronspring/tokens/restore_grace.py
@@ -9,12 +9,12 @@
 
 from citronspring.light_stdlib import INFINITY, TYPE_CHECKING, Counter
 from citronspring.tokens.entries import (
-    Removed,
+    TargetRemoved,
     ZoneDrain,
     epoch_of,
     is_of_earlier_epoch,
 )
-from citronspring.tokens.revisions import apply_change
+from citronspring.tokens.entry_updates import apply_change
 
 if TYPE_CHECKING:
     from citronspring.tokens.messages import Action
@@ -22,29 +22,29 @@
 
 #: Seconds after which a target that lives has written its entry again: two, and half a
 #: second for its way here.
-TARGET_REWRITE = 2.5
+TARGET_REWRITE_GRACE = 2.5
 
 #: Seconds for which operators may not have written again that a zone is drained, or a
 #: newer configuration. Nobody says how soon they do. Too short, a drained zone gets
 #: flows; too long, it stays unused, and missing routes are not refused.
-OPERATOR_REWRITE = 10.0
+OPERATOR_REWRITE_GRACE = 10.0
 
 #: Share of a service's targets that the store must hold for the others to be taken as
 #: gone at once.
-LEAST_HELD = 0.5
+MIN_PRESENT_RATIO = 0.5
 
 
-def await_rewrites(tables: Tables, revision: int, now: float) -> None:
+def start_restore_grace(tables: Tables, revision: int, now: float) -> None:
     """Give entries that a list lacks their time, once in each epoch of the store."""
-    rewrites = tables.rewrites
+    rewrites = tables.restore_grace
     if rewrites.epoch == epoch_of(revision):
         return
     rewrites.epoch = epoch_of(revision)
-    rewrites.targets_deadline = now + TARGET_REWRITE
-    rewrites.operators_deadline = now + OPERATOR_REWRITE
+    rewrites.targets_deadline = now + TARGET_REWRITE_GRACE
+    rewrites.operators_deadline = now + OPERATOR_REWRITE_GRACE
 
 
-def lacking_services(tables: Tables, revision: int) -> set[str]:
+def services_missing_targets(tables: Tables, revision: int) -> set[str]:
     """Return the services of which a list holds less than half of what was known.
 
     Most of what such a list lacks has been lost with the copy, and what it holds would
@@ -58,17 +58,19 @@
         if row.gone_at == INFINITY and not target.leaving:
             known[target.service] += 1
             held[target.service] += not is_of_earlier_epoch(target.revision, revision)
-    return {name for name, count in known.items() if held[name] < LEAST_HELD * count}
+    return {
+        name for name, count in known.items() if held[name] < MIN_PRESENT_RATIO * count
+    }
 
 
-def overdue_rewrites(tables: Tables, now: float) -> list[Removed | ZoneDrain]:
+def expired_entries(tables: Tables, now: float) -> list[TargetRemoved | ZoneDrain]:
     """Return the ends of what has not been written again in time."""
-    rewrites, revision = tables.rewrites, tables.reader.revision
-    ends: list[Removed | ZoneDrain] = []
+    rewrites, revision = tables.restore_grace, tables.reader.revision
+    ends: list[TargetRemoved | ZoneDrain] = []
     if now >= rewrites.targets_deadline:
         rewrites.targets_deadline = INFINITY
         ends += [
-            Removed(row.target.target_id, revision)
+            TargetRemoved(row.target.target_id, revision)
             for row in tables.targets.values()
             if row.gone_at == INFINITY
             and is_of_earlier_epoch(row.target.revision, revision)
@@ -83,7 +85,7 @@
     return ends
 
 
-def end_rewrites(tables: Tables, now: float, actions: list[Action]) -> None:
+def expire_missing_entries(tables: Tables, now: float, actions: list[Action]) -> None:
     """Take what nobody has written again in time for gone."""
-    for end in overdue_rewrites(tables, now):
+    for end in expired_entries(tables, now):
         apply_change(tables, end, now, actions)
--- a/citronspring/tokens/routes.py
+++ b/citronspring/tokens/routes.py
@@ -24,12 +24,12 @@
     """
     if configuration.revision <= tables.configuration:
         return None
-    change = difference_of(tables.routes, tables.configuration, configuration)
-    put_in_force(tables, change, actions)
+    change = diff_configuration(tables.routes, tables.configuration, configuration)
+    apply_difference(tables, change, actions)
     return change
 
 
-def put_in_force(
+def apply_difference(
     tables: Tables, change: ConfigurationChange, actions: list[Action]
 ) -> None:
     """Turn the configuration that is in force into the next one.
@@ -46,7 +46,7 @@
     for key in change.removed:
         remove_route(tables, key)
     for route in change.routes:
-        put_route(tables, route)
+        set_route(tables, route)
     fields["routes"] = len(tables.routes)
     actions.append(Log(CONFIGURATION_APPLIED.number, fields))
 
@@ -60,7 +60,7 @@
         count_priority(tables, route, -1)
 
 
-def put_route(tables: Tables, route: Route) -> None:
+def set_route(tables: Tables, route: Route) -> None:
     """Add a route, or put it in the place of the one that is."""
     known = tables.routes.get(route.key)
     if known is not None:
@@ -78,7 +78,7 @@
         del tables.priorities[route.priority]
 
 
-def difference_of(
+def diff_configuration(
     routes: dict[int, Route], before: int, after: Configuration
 ) -> ConfigurationChange:
     """Return what differs between the routes in force and a configuration."""
@@ -90,7 +90,7 @@
     )
 
 
-def fits(tables: Tables, change: ConfigurationChange) -> bool:
+def is_applicable(tables: Tables, change: ConfigurationChange) -> bool:
     """Whether a difference can be applied here, or is no news."""
     return tables.configuration in (change.base, change.revision) or (
         tables.configuration > change.revision
@@ -102,9 +102,9 @@
 ) -> bool:
     """Put in force what differs from the configuration that is; return if it was news.
 
-    The caller has made sure that it `fits`.
+    The caller has made sure that it `is_applicable`.
     """
     if change.revision <= tables.configuration:
         return False
-    put_in_force(tables, change, actions)
+    apply_difference(tables, change, actions)
     return True
--- a/citronspring/tokens/rows.py
+++ b/citronspring/tokens/rows.py
@@ -26,8 +26,8 @@
     #: Of these, flows with a request that is not answered yet.
     busy: int = 0
     #: Load that it counts as having for its way.
-    distance: float = 0.0
-    #: How busy it is for its size, and what decides among equals; see `order_of`.
+    zone_penalty: float = 0.0
+    #: How busy it is for its size, and what decides among equals; see `placement_order`.
     order: tuple[float, float, int] = (0.0, 0.0, 0)
     #: Time until which it works slower after its start.
     warm_at: float = 0.0
@@ -38,14 +38,14 @@
     #: When the first of those that it left unanswered since went out.
     silent_since: float = INFINITY
     #: Openings and requests it left unanswered since it last answered.
-    silences: int = 0
+    timeouts: int = 0
     #: Flows that sent a request again in vain since; and when one last did.
-    repeats: int = 0
-    repeated_at: float = -INFINITY
+    retransmissions: int = 0
+    retransmitted_at: float = -INFINITY
     #: When the first of these flows did, and when the request of the last one had been
     #: sent first.
-    first_repeated_at: float = -INFINITY
-    repeated_sent_at: float = -INFINITY
+    first_retransmitted_at: float = -INFINITY
+    retransmitted_sent_at: float = -INFINITY
     #: Time until which new flows rather go elsewhere.
     avoid_until: float = 0.0
     #: When this start of the target was first heard of.
@@ -64,11 +64,11 @@
     #: When the newest of what its targets have answered was sent.
     answered_sent_at: float = -INFINITY
     #: When a request to one of its targets was first sent again since it answered.
-    first_repeated_at: float = -INFINITY
+    first_retransmitted_at: float = -INFINITY
     #: Time until which no target of the zone is believed to be in reach.
     suspect_until: float = 0.0
     #: Targets of it that are silent, with no answer from the zone since.
-    silent_targets: int = 0
+    unresponsive_targets: int = 0
 
 
 @record
@@ -108,11 +108,11 @@
     #: Whether a request has gone to the target and no byte of an answer is seen.
     busy: bool = False
     #: When the unanswered opening or request was sent first.
-    asked_at: float = 0.0
+    first_sent_at: float = 0.0
     #: When bytes of the request were sent last, new ones or the same again.
     sent_at: float = 0.0
     #: Times that the caller sent the same bytes again.
-    repeats: int = 0
+    retransmissions: int = 0
     #: Time from which the row may be forgotten.
     expires_at: float = 0.0
     #: Targets that the opening was sent to.
@@ -122,7 +122,7 @@
 
 
 @record
-class Answered:
+class AnsweredRequest:
     """An opening or request that a target has answered."""
 
     target: TargetRow
@@ -131,19 +131,19 @@
 
 
 @record
-class Repeated:
+class RetransmittedRequest:
     """A request that its caller has sent again."""
 
     target: TargetRow
     sent_at: float
-    repeated_at: float
+    retransmitted_at: float
 
 
 @record
-class OwnPath:
+class LocalPath:
     """What shows whether the host's own link, socket and processor keep up."""
 
-    answers: deque[Answered] = field(default_factory=deque)
-    repeats: deque[Repeated] = field(default_factory=deque)
+    answers: deque[AnsweredRequest] = field(default_factory=deque)
+    retransmissions: deque[RetransmittedRequest] = field(default_factory=deque)
     #: When the host last stood still, or could not send.
     disturbed_at: float = -INFINITY
--- a/citronspring/tokens/reader.py
+++ b/citronspring/tokens/store_reader.py
@@ -11,37 +11,37 @@
     STORE_RESTORED,
 )
 from citronspring.light_stdlib import INFINITY, TYPE_CHECKING
-from citronspring.tokens.election import forget_lost_lease, holds_zone
+from citronspring.tokens.change_feed import log_changes, start_change_log
+from citronspring.tokens.election import drop_unknown_lease, is_zone_reader
 from citronspring.tokens.entries import (
     Configuration,
     count_of,
     epoch_of,
     is_of_earlier_epoch,
 )
+from citronspring.tokens.entry_updates import apply_change, apply_list
 from citronspring.tokens.following import (
+    apply_feed,
     follow_call,
+    handle_reader_failure,
     reader_to_follow,
-    take_failure,
-    take_news,
 )
 from citronspring.tokens.messages import (
     AnswerTooLarge,
     Changes,
+    FeedAnswer,
     FollowReader,
     HistoryLost,
     ListEntries,
     Log,
     Page,
-    PeerCopy,
-    ReaderNews,
+    PeerSnapshot,
     ReadPeer,
     Refused,
     Unanswered,
     WatchEntries,
 )
-from citronspring.tokens.news import begin_news, note_news
-from citronspring.tokens.revisions import apply_change, apply_list
-from citronspring.tokens.times import FOLLOW_SLACK, LEAD_PAUSE
+from citronspring.tokens.times import FOLLOW_SLACK, ZONE_READER_PAUSE
 
 if TYPE_CHECKING:
     from citronspring.tokens.entries import Entry
@@ -51,19 +51,19 @@
 
 #: Seconds that an answer may take beyond what was asked for: a hundred times the
 #: usual 4 ms, so that a store that answers sixty times slower is still read.
-ANSWER_SLACK = 0.5
+ANSWER_TIMEOUT = 0.5
 
 #: Longest slack in seconds, reached by doubling when answers stay away. A store
 #: slower than that cannot be told from one that is down.
-LONGEST_SLACK = 2.0
+MAX_ANSWER_TIMEOUT = 2.0
 
 #: Seconds between a failure and the next call; doubled up to the longest.
-FIRST_RETRY = 0.2
-LONGEST_RETRY = 0.8
+INITIAL_RETRY_PAUSE = 0.2
+MAX_RETRY_PAUSE = 0.8
 
 #: Doublings after which both have reached their longest. Counted without end, an
 #: outage of a quarter of an hour would overflow the power and end the process.
-MOST_DOUBLINGS = 2
+MAX_DOUBLINGS = 2
 
 #: Seconds by which the store's timer may run ahead of the host's: a tenth of the
 #: shortest time that matters here, and more than clocks differ in a watch.
@@ -92,7 +92,7 @@
     if not reader.listed:
         return ListEntries(reader.next_key)
     zone_reader = reader_to_follow(tables, now)
-    if reader.overdue and (zone_reader is None or not reader.failures):
+    if reader.wants_immediate_answer and (zone_reader is None or not reader.failures):
         return WatchEntries(reader.revision, 0.0)
     if zone_reader is not None:
         # Also when the store serves others and not this host.
@@ -108,8 +108,8 @@
     answer, and a change every three seconds sent whole zones to the store each time.
     """
     age = now - tables.reader.current_at
-    if holds_zone(tables):
-        longest, left = times.lead_wait, times.follow_wait - age
+    if is_zone_reader(tables):
+        longest, left = times.zone_reader_wait, times.follow_wait - age
     else:
         longest, left = times.wait, times.current - CURRENT_MARGIN - age
     return min(longest, max(left, 0.0))
@@ -119,8 +119,8 @@
     """Return the time at which a call that goes out now is given up."""
     if isinstance(call, FollowReader):
         return now + call.wait + FOLLOW_SLACK
-    doublings = min(tables.reader.failures, MOST_DOUBLINGS)
-    slack = min(ANSWER_SLACK * 2.0**doublings, LONGEST_SLACK)
+    doublings = min(tables.reader.failures, MAX_DOUBLINGS)
+    slack = min(ANSWER_TIMEOUT * 2.0**doublings, MAX_ANSWER_TIMEOUT)
     wait = call.wait if isinstance(call, WatchEntries) else 0.0
     return now + wait + slack
 
@@ -137,10 +137,10 @@
     be less than what operators were told is accepted.
     """
     fresh = now - tables.reader.current_at <= times.current
-    return fresh and not tables.rewrites.awaits_operators
+    return fresh and not tables.restore_grace.awaits_operators
 
 
-def take_answer(
+def handle_store_answer(
     tables: Tables,
     times: ReaderTimes,
     call: StoreCall,
@@ -169,29 +169,29 @@
     actions: list[Action] = []
     tables.histograms["store_call"].record(max(now - sent_at, 0.0))
     match answer:
-        case ReaderNews():
-            take_news(tables, times, answer, sent_at, now, actions)
+        case FeedAnswer():
+            apply_feed(tables, times, answer, sent_at, now, actions)
         case AnswerTooLarge() | HistoryLost() | Refused() | Unanswered() if isinstance(
             call, FollowReader
         ):
-            take_failure(tables, answer, now, actions)
-        case PeerCopy():
-            take_copy(tables, answer, sent_at, now, actions)
+            handle_reader_failure(tables, answer, now, actions)
+        case PeerSnapshot():
+            apply_snapshot(tables, answer, sent_at, now, actions)
         case Page():
             note_success(tables, now, actions)
-            take_page(tables, answer, sent_at, now, actions)
+            handle_page(tables, answer, sent_at, now, actions)
         case Changes():
             note_success(tables, now, actions)
-            take_changes(tables, call, answer, sent_at, now, actions)
+            handle_changes(tables, call, answer, sent_at, now, actions)
         case AnswerTooLarge() if isinstance(call, WatchEntries):
             note_success(tables, now, actions)
-            start_list(tables)
+            restart_list(tables)
             tables.reader.call_at = now
         case AnswerTooLarge():
             note_failure(tables, "the answer is too large", now, actions)
         case HistoryLost():
             note_success(tables, now, actions)
-            lose_history(tables, answer.epoch, now, actions)
+            handle_lost_history(tables, answer.epoch, now, actions)
         case Refused():
             note_failure(tables, f"status {answer.status}", now, actions)
         case Unanswered():
@@ -199,7 +199,9 @@
     return actions
 
 
-def lose_history(tables: Tables, epoch: int, now: float, actions: list[Action]) -> None:
+def handle_lost_history(
+    tables: Tables, epoch: int, now: float, actions: list[Action]
+) -> None:
     """Take that no watch can go on from what is known; ``epoch`` is the store's.
 
     Everything is listed at once, unless the watch after a list met the same: a fleet
@@ -211,10 +213,10 @@
     if reader.histories_lost:
         reader.call_at = now + retry_pause(reader.histories_lost - 1)
     reader.histories_lost += 1
-    start_list(tables)
+    restart_list(tables)
 
 
-def start_list(tables: Tables) -> None:
+def restart_list(tables: Tables) -> None:
     """Have everything read anew."""
     reader = tables.reader
     reader.listed = False
@@ -222,7 +224,7 @@
     reader.list_entries = []
 
 
-def take_page(
+def handle_page(
     tables: Tables, page: Page, sent_at: float, now: float, actions: list[Action]
 ) -> None:
     """Collect a page; put the list in force after the last one."""
@@ -233,28 +235,28 @@
     reader.call_at = now
     if epoch_of(page.revision) != epoch_of(reader.list_revision):
         # The pages before this one are of a history that the store has lost.
-        start_list(tables)
+        restart_list(tables)
         return
     reader.list_entries += page.entries
     if page.next_key is not None:
         reader.next_key = page.next_key
         return
     log_list(tables, actions)
-    restored = store_has_come_back(tables)
+    restored = store_was_restored(tables)
     apply_list(tables, reader.list_entries, reader.list_revision, now, actions)
     if restored:
-        forget_lost_lease(tables)
+        drop_unknown_lease(tables)
     if reader.list_revision > reader.revision:
-        tables.news.skipped = (reader.revision, reader.list_revision)
+        tables.change_log.skipped = (reader.revision, reader.list_revision)
     # The pages are no snapshot: the watch begins where the first one stood, and
     # brings again what changed meanwhile.
     reader.revision = max(reader.revision, reader.list_revision)
     reader.current_at = max(reader.current_at, reader.list_sent_at)
-    if tables.news.base:
-        note_news(tables, now, newest_of(reader.list_entries))
+    if tables.change_log.compacted_revision:
+        log_changes(tables, now, newest_of(reader.list_entries))
     else:
-        begin_news(tables)
-    start_list(tables)
+        start_change_log(tables)
+    restart_list(tables)
     reader.listed = True
 
 
@@ -276,20 +278,24 @@
         "known_epoch": epoch_of(reader.revision),
     }
     actions.append(Log(STORE_LISTED.number, fields))
-    if store_has_come_back(tables):
+    if store_was_restored(tables):
         tables.counters["store-restores"] += 1
         actions.append(Log(STORE_RESTORED.number, dict(fields)))
 
 
-def store_has_come_back(tables: Tables) -> bool:
+def store_was_restored(tables: Tables) -> bool:
     """Whether the list that was read is of a later epoch than what is known."""
     reader = tables.reader
     known = reader.revision > 0
     return known and is_of_earlier_epoch(reader.revision, reader.list_revision)
 
 
-def take_copy(
-    tables: Tables, copy: PeerCopy, sent_at: float, now: float, actions: list[Action]
+def apply_snapshot(
+    tables: Tables,
+    copy: PeerSnapshot,
+    sent_at: float,
+    now: float,
+    actions: list[Action],
 ) -> None:
     """Put in force what a peer knows; the store is asked for what came after.
 
@@ -298,17 +304,17 @@
     """
     reader = tables.reader
     entries: list[Entry] = [copy.configuration, *copy.entries]
-    if copy.whole:
+    if copy.complete:
         apply_list(tables, entries, copy.revision, now, actions)
     else:
         # What is missing may just have been left out.
         for entry in entries:
             apply_change(tables, entry, now, actions)
-    start_list(tables)
+    restart_list(tables)
     # A watch tells of changes only: what a peer has left out is to be listed.
-    reader.listed = copy.whole
+    reader.listed = copy.complete
     reader.revision = max(reader.revision, copy.revision)
-    begin_news(tables)
+    start_change_log(tables)
     reader.current_at = max(reader.current_at, sent_at - copy.age)
     reader.call_at = now
     fields: dict[str, object] = {
@@ -319,7 +325,7 @@
     actions.append(Log(COPY_TAKEN.number, fields))
 
 
-def take_changes(
+def handle_changes(
     tables: Tables,
     call: StoreCall,
     answer: Changes,
@@ -333,7 +339,7 @@
     gives revisions out again, also below the one that the watch was asked for.
     """
     if answer.epoch != epoch_of(tables.reader.revision):
-        lose_history(tables, answer.epoch, now, actions)
+        handle_lost_history(tables, answer.epoch, now, actions)
         return
     tables.reader.histories_lost = 0
     for change in answer.changes:
@@ -341,14 +347,16 @@
     reader = tables.reader
     if answer.revision is not None:
         reader.revision = max(reader.revision, answer.revision)
-    note_news(tables, now)
-    confirmed_at = sent_at + quiet_time(call, answer, sent_at, now)
+    log_changes(tables, now)
+    confirmed_at = sent_at + unchanged_seconds(call, answer, sent_at, now)
     reader.current_at = max(reader.current_at, confirmed_at)
-    pause = LEAD_PAUSE if holds_zone(tables) else WATCH_PAUSE
+    pause = ZONE_READER_PAUSE if is_zone_reader(tables) else WATCH_PAUSE
     reader.call_at = now + pause if answer.changes else now
 
 
-def quiet_time(call: StoreCall, answer: Changes, sent_at: float, now: float) -> float:
+def unchanged_seconds(
+    call: StoreCall, answer: Changes, sent_at: float, now: float
+) -> float:
     """Return the seconds after its sending for which a watch heard of no change.
 
     The store says that there is no news only after it has waited for the whole time;
@@ -370,7 +378,7 @@
         }
         actions.append(Log(STORE_REGAINED.number, fields))
     reader.failures = 0
-    reader.overdue = False
+    reader.wants_immediate_answer = False
 
 
 def note_failure(tables: Tables, cause: str, now: float, actions: list[Action]) -> None:
@@ -385,10 +393,12 @@
         actions.append(Log(STORE_LOST.number, fields))
     reader.call_at = now + retry_pause(reader.failures)
     reader.failures += 1
-    reader.overdue = True
+    reader.wants_immediate_answer = True
     tables.counters["store-failures"] += 1
 
 
 def retry_pause(failures: int) -> float:
     """Return the seconds until the next call after some failures before this one."""
-    return min(FIRST_RETRY * 2.0 ** min(failures, MOST_DOUBLINGS), LONGEST_RETRY)
+    return min(
+        INITIAL_RETRY_PAUSE * 2.0 ** min(failures, MAX_DOUBLINGS), MAX_RETRY_PAUSE
+    )
--- a/citronspring/tokens/suspicions.py
+++ b/citronspring/tokens/suspicions.py
@@ -14,13 +14,13 @@
     from typing import Any
 
 #: Targets in one datagram at most; at some 35 bytes each it stays one packet.
-MOST_SUSPICIONS = 30
+MAX_SUSPICIONS = 30
 
 #: What decoding raises when a message has another shape.
-UNUSABLE = (AttributeError, IndexError, KeyError, TypeError, ValueError)
+DECODE_ERRORS = (AttributeError, IndexError, KeyError, TypeError, ValueError)
 
 #: Longest age in seconds that means anything; what is older is no evidence.
-LONGEST_AGE = 60.0
+MAX_AGE = 60.0
 
 
 @record(eq=True)
@@ -70,17 +70,20 @@
     """Return a message as it is sent."""
     match message:
         case Report():
-            body: dict[str, Any] = {"report": plain(message.suspicions)}
+            body: dict[str, Any] = {"report": encode_suspicions(message.suspicions)}
         case Inquiry():
-            body = {"inquiry": message.number, "of": plain(message.suspicions)}
+            body = {
+                "inquiry": message.number,
+                "of": encode_suspicions(message.suspicions),
+            }
         case Reply():
             body = {"reply": message.number, "answered": list(message.answered)}
         case Verdict():
-            body = {"verdict": plain(message.suspicions)}
+            body = {"verdict": encode_suspicions(message.suspicions)}
     return dumps(body).encode()
 
 
-def plain(suspicions: tuple[Suspicion, ...]) -> list[list[float]]:
+def encode_suspicions(suspicions: tuple[Suspicion, ...]) -> list[list[float]]:
     """Return suspicions as plain values."""
     return [[one.incarnation, round(one.age, 4)] for one in suspicions]
 
@@ -97,17 +100,17 @@
             answered = tuple(int(number) for number in body["answered"])
             return Reply(int(body["reply"]), answered)
         return Verdict(decode_suspicions(body["verdict"]))
-    except UNUSABLE:
+    except DECODE_ERRORS:
         # Counted by who reads the socket; its sender is of another release, or none
         # of the system's hosts.
         return None
 
 
 def decode_suspicions(rows: list[Any]) -> tuple[Suspicion, ...]:
-    """Return suspicions from plain values; raises one of `UNUSABLE`."""
+    """Return suspicions from plain values; raises one of `DECODE_ERRORS`."""
     found = []
-    for incarnation, age in rows[:MOST_SUSPICIONS]:
-        if not 0.0 <= age <= LONGEST_AGE:
+    for incarnation, age in rows[:MAX_SUSPICIONS]:
+        if not 0.0 <= age <= MAX_AGE:
             raise ValueError(f"{age!r} is no age of a suspicion")
         found.append(Suspicion(int(incarnation), float(age)))
     return tuple(found)
--- a/citronspring/tokens/tables.py
+++ b/citronspring/tokens/tables.py
@@ -5,11 +5,11 @@
 from citronspring.histogram import Histogram
 from citronspring.light_stdlib import INFINITY, TYPE_CHECKING, Counter, deque
 from citronspring.records import field, record
-from citronspring.tokens.rows import AnswerRow, OwnPath, ServiceRow, ZoneRow
+from citronspring.tokens.rows import AnswerRow, LocalPath, ServiceRow, ZoneRow
 
 if TYPE_CHECKING:
     from citronspring.tokens.entities import Route
-    from citronspring.tokens.entries import Entry, News, ZoneDrain, ZoneReader
+    from citronspring.tokens.entries import Entry, FeedChange, ZoneDrain, ZoneReader
     from citronspring.tokens.rows import FlowRow, TargetRow
 
 #: Flows a host keeps a row of; the others are forwarded by their token alone. At
@@ -36,11 +36,11 @@
     #: When the newest requests to each target that it is about had been sent.
     since: dict[int, float]
     replied: set[str]
-    denied: set[int]
+    refuted: set[int]
 
 
 @record
-class InquiryTable:
+class InquiryState:
     """What the reader of a zone hears from its hosts about silent targets."""
 
     #: Reports by start of a target.
@@ -52,13 +52,13 @@
     #: Times from which on the zone may be asked about a target again.
     retry_at: dict[int, float] = field(default_factory=dict)
     #: When targets that were reported turned out to have answered.
-    denied_at: deque[float] = field(default_factory=deque)
+    refuted_at: deque[float] = field(default_factory=deque)
     #: When nobody had heard of a target that was asked about, by its start.
-    unheard_at: dict[int, float] = field(default_factory=dict)
+    unrefuted_at: dict[int, float] = field(default_factory=dict)
 
 
 @record
-class ReaderTable:
+class StoreReaderState:
     """How current the host's knowledge is, and what it asks the store next."""
 
     #: Largest revision of the store whose entries are in force here.
@@ -75,7 +75,7 @@
     histories_lost: int = 0
     #: Set while an answer is wanted at once: it may bring a change that has long
     #: been in force elsewhere.
-    overdue: bool = False
+    wants_immediate_answer: bool = False
     #: Pages of the list under way: revision of the first, and what was read.
     list_revision: int = 0
     list_entries: list[Entry] = field(default_factory=list)
@@ -84,7 +84,7 @@
 
 
 @record
-class RewriteTable:
+class RestoreGrace:
     """Until when entries that the store has lost may be written again."""
 
     #: Epoch of the store in which they were missed.
@@ -109,7 +109,7 @@
 
 
 @record
-class FollowTable:
+class FollowState:
     """How this host fares with the reader of its zone."""
 
     #: Whether the last answer about the store came from that reader.
@@ -121,7 +121,7 @@
 
 
 @record
-class ElectionTable:
+class ElectionState:
     """The part of this host in agreeing on the zone's reader."""
 
     #: The lease it holds, 0 for none, and when that ends unless it is renewed.
@@ -141,7 +141,7 @@
     """A change with the revision of the store up to which this host had read then."""
 
     revision: int
-    change: News
+    change: FeedChange
     #: When this host read it.
     read_at: float
     #: As it is handed on; made for the first follower that asks.
@@ -149,13 +149,13 @@
 
 
 @record
-class NewsLog:
+class ChangeLog:
     """Changes put in force here, for hosts that follow; the oldest are let go."""
 
     #: Changes of the answer that is being put in force.
-    fresh: list[News] = field(default_factory=list)
+    pending: list[FeedChange] = field(default_factory=list)
     #: Changes at or below this revision are not in the log.
-    base: int = 0
+    compacted_revision: int = 0
     #: Revisions that the last list has skipped, both ends not included. Of what came
     #: and went between them nothing is in the log.
     skipped: tuple[int, int] = (0, 0)
@@ -163,8 +163,8 @@
     #: Bytes a second that followers may cost, what of them is left, and since when;
     #: until the settings are known, as on a link of 1 Gbit/s.
     rate: float = 6_250_000.0
-    allowance: float = 0.0
-    allowed_at: float = -INFINITY
+    bucket_level: float = 0.0
+    bucket_updated_at: float = -INFINITY
 
 
 def make_histograms() -> dict[str, Histogram]:
@@ -199,24 +199,24 @@
     #: Routes of each priority number.
     priorities: Counter[int] = field(default_factory=Counter)
     flows: dict[bytes, FlowRow] = field(default_factory=dict)
-    own_path: OwnPath = field(default_factory=OwnPath)
+    local_path: LocalPath = field(default_factory=LocalPath)
     #: Requests sent again in vain since the last turn: target, and when sent first.
     suspected: list[tuple[TargetRow, float]] = field(default_factory=list)
-    inquiry: InquiryTable = field(default_factory=InquiryTable)
+    inquiry: InquiryState = field(default_factory=InquiryState)
     #: Deadlines of openings as (time, flow); a heap.
     opening_deadlines: list[tuple[float, bytes]] = field(default_factory=list)
-    reader: ReaderTable = field(default_factory=ReaderTable)
+    reader: StoreReaderState = field(default_factory=StoreReaderState)
     #: The registered reader of each zone.
     zone_readers: dict[str, ZoneReader] = field(default_factory=dict)
     #: What operators last wanted of each zone that they have ever drained.
     zone_drains: dict[str, ZoneDrain] = field(default_factory=dict)
-    rewrites: RewriteTable = field(default_factory=RewriteTable)
-    follow: FollowTable = field(default_factory=FollowTable)
-    election: ElectionTable = field(default_factory=ElectionTable)
-    news: NewsLog = field(default_factory=NewsLog)
+    restore_grace: RestoreGrace = field(default_factory=RestoreGrace)
+    follow: FollowState = field(default_factory=FollowState)
+    election: ElectionState = field(default_factory=ElectionState)
+    change_log: ChangeLog = field(default_factory=ChangeLog)
     #: When the process last took a turn, and whether what waits in its socket may
     #: have waited for long.
-    turn_at: float = INFINITY
+    iteration_started_at: float = INFINITY
     stale: bool = False
     #: When rows are looked through for what has expired.
     sweep_at: float = 0.0
@@ -229,7 +229,7 @@
     histograms: dict[str, Histogram] = field(default_factory=make_histograms)
 
     @property
-    def least_priority(self) -> int:
+    def lowest_priority(self) -> int:
         """Largest priority number of a route, which is the least urgent one's."""
         return max(self.priorities, default=0)
 
--- a/citronspring/tokens/times.py
+++ b/citronspring/tokens/times.py
@@ -18,11 +18,11 @@
 #: Share of the configuration bound that the watch of a zone's reader waits at most.
 #: Shorter than that of a host which reads for itself: if the reader is cut off, the
 #: hosts that follow it notice one watch later, and must still read within the bound.
-LEAD_SHARE = 0.5
+ZONE_READER_WATCH_SHARE = 0.5
 
 #: Seconds between news and the next watch of a zone's reader: whole zones wait for
 #: what it reads, and one call serves all of their hosts.
-LEAD_PAUSE = 0.25
+ZONE_READER_PAUSE = 0.25
 
 #: Seconds beyond its longest silence after which a reader counts as lost: a hundred
 #: times the way within a zone, and longer than a process waits for its processor.
@@ -47,7 +47,7 @@
     #: Seconds for which the host counts as current after a confirmation.
     current: float
     #: Seconds a watch waits at a host that reads for its zone.
-    lead_wait: float
+    zone_reader_wait: float
     #: Seconds that a host waits for its zone's reader at most.
     follow_wait: float
     #: Oldest knowledge of a reader, in seconds, that is followed.
@@ -71,12 +71,12 @@
             Bytes a second that the host's link carries.
         """
         wait = max(min(WATCH_SHARE * change, settling - SETTLING_RESERVE), 0.0)
-        lead_wait = min(LEAD_SHARE * change, wait)
-        follow_wait = lead_wait + LEAD_PAUSE
+        zone_reader_wait = min(ZONE_READER_WATCH_SHARE * change, wait)
+        follow_wait = zone_reader_wait + ZONE_READER_PAUSE
         return cls(
             wait,
             CURRENT_SHARE * change,
-            lead_wait,
+            zone_reader_wait,
             follow_wait,
             follow_wait + FOLLOW_SLACK,
             WATCH_LINK_SHARE * change * link_rate,
--- a/tests/test_emulator/test_drains.py
+++ b/tests/test_emulator/test_drains.py
@@ -14,7 +14,7 @@
 from citronspring.emulator.run import play
 from citronspring.emulator.store import Trouble
 from citronspring.emulator.world import Sizes, World
-from citronspring.tokens.evidence import avoided
+from citronspring.tokens.evidence import is_avoided
 from citronspring.tokens.tables import Tables
 
 #: Runs in which targets that start are cold for two seconds.
@@ -73,7 +73,7 @@
         rows = tables.by_service.get(service, ())
         rows = [row for row in rows if not row.target.leaving]
         fresh = [row for row in rows if row not in tried] or rows
-        sound = [row for row in fresh if not avoided(tables, row, now)] or fresh
+        sound = [row for row in fresh if not is_avoided(tables, row, now)] or fresh
         return min(
             sound,
             key=lambda row: row.order[0] + 0.6 * (row.warm_at > now),
--- a/tests/test_emulator/test_loads.py
+++ b/tests/test_emulator/test_loads.py
@@ -43,7 +43,9 @@
 
 def test_runs_show_what_the_control_is_for(monkeypatch):
     """Without the control, the checker sees living flows reset."""
-    monkeypatch.setattr("citronspring.tokens.evidence.works", lambda *a, **k: True)
+    monkeypatch.setattr(
+        "citronspring.tokens.evidence.local_path_works", lambda *a, **k: True
+    )
     outcomes = [
         play(seed, SMALL_LINKS, calm=True, load=burst(6.0)) for seed in BURST_SEEDS
     ]
@@ -59,7 +61,9 @@
     """
     outcomes = play_wide(load)
     assert all(outcome.broken == [] for outcome in outcomes)
-    monkeypatch.setattr("citronspring.tokens.evidence.works", lambda *a, **k: True)
+    monkeypatch.setattr(
+        "citronspring.tokens.evidence.local_path_works", lambda *a, **k: True
+    )
     uncontrolled = sum(outcome.resets.true for outcome in play_wide(load))
     assert uncontrolled > 0
     assert sum(outcome.resets.true for outcome in outcomes) >= 0.9 * uncontrolled
@@ -96,7 +100,9 @@
 
 def let_all_in(monkeypatch):
     """Take admission away."""
-    monkeypatch.setattr("citronspring.tokens.openings.admits", lambda *arguments: True)
+    monkeypatch.setattr(
+        "citronspring.tokens.openings.is_admitted", lambda *arguments: True
+    )
 
 
 def test_refusals_keep_requests_in_time_when_callers_outrun_the_targets(monkeypatch):
--- a/tests/test_emulator/test_mutants.py
+++ b/tests/test_emulator/test_mutants.py
@@ -37,27 +37,27 @@
 
 def reset_after_one_repetition(patch):
     def unreachable(tables, flow, now):
-        return flow.repeats >= 1
+        return flow.retransmissions >= 1
 
-    patch("citronspring.tokens.forwarding.certainly_unreachable", unreachable)
+    patch("citronspring.tokens.forwarding.is_confirmed_unreachable", unreachable)
 
 
 def reset_on_silent_openings(patch):
     def unreachable(tables, flow, now):
-        return flow.target.silences >= 1
+        return flow.target.timeouts >= 1
 
-    patch("citronspring.tokens.forwarding.certainly_unreachable", unreachable)
+    patch("citronspring.tokens.forwarding.is_confirmed_unreachable", unreachable)
 
 
 def reset_orders(patch):
-    def hopeless(tables, flow, packet, now):
-        return ResetReason.TARGET_UNREACHABLE if flow.repeats else None
+    def flow_reset_reason(tables, flow, packet, now):
+        return ResetReason.TARGET_UNREACHABLE if flow.retransmissions else None
 
-    patch("citronspring.tokens.forwarding.hopeless", hopeless)
+    patch("citronspring.tokens.forwarding.flow_reset_reason", flow_reset_reason)
 
 
 def take_missing_entries_for_gone(patch):
-    patch("citronspring.tokens.evidence.GONE_CERTAIN", -1.0)
+    patch("citronspring.tokens.evidence.REMOVAL_GRACE", -1.0)
 
 
 def always_feel_current(patch):
@@ -65,15 +65,15 @@
 
 
 def forget_pauses(patch):
-    patch("citronspring.tokens.balancer.PAUSE", math.inf)
-    patch("citronspring.tokens.openings.LATE_TIMER", math.inf)
+    patch("citronspring.tokens.balancer.STALL_THRESHOLD", math.inf)
+    patch("citronspring.tokens.openings.MAX_TIMER_DELAY", math.inf)
 
 
 def ignore_lost_history(patch):
     def keep(tables):
         tables.reader.listed = True
 
-    patch("citronspring.tokens.reader.start_list", keep)
+    patch("citronspring.tokens.store_reader.restart_list", keep)
 
 
 MUTANTS = {
--- a/tests/test_emulator/test_readers.py
+++ b/tests/test_emulator/test_readers.py
@@ -13,9 +13,9 @@
 from citronspring.emulator.faults import READER_KINDS
 from citronspring.emulator.run import play
 from citronspring.emulator.world import Sizes
-from citronspring.tokens.messages import FollowReader, ReaderNews
-from citronspring.tokens.news import answer_poll, decode_news
-from citronspring.tokens.reader import answer_deadline
+from citronspring.tokens.change_feed import answer_poll, decode_feed
+from citronspring.tokens.messages import FeedAnswer, FollowReader
+from citronspring.tokens.store_reader import answer_deadline
 
 SIZES = Sizes(hosts_per_zone=3)
 
@@ -83,13 +83,13 @@
 
 def hand_nothing_on(patch):
     def decode(status, body):
-        news = decode_news(status, body)
-        if isinstance(news, ReaderNews):
+        news = decode_feed(status, body)
+        if isinstance(news, FeedAnswer):
             news.configuration = 0
         return news
 
-    patch("citronspring.tokens.reader.note_news", lambda *arguments: None)
-    patch("citronspring.emulator.hosts.decode_news", decode)
+    patch("citronspring.tokens.store_reader.log_changes", lambda *arguments: None)
+    patch("citronspring.emulator.hosts.decode_feed", decode)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_emulator/test_restores.py
+++ b/tests/test_emulator/test_restores.py
@@ -42,11 +42,11 @@
 
 
 def wait_for_no_operator(patch):
-    patch("citronspring.tokens.rewrites.OPERATOR_REWRITE", 0.0)
+    patch("citronspring.tokens.restore_grace.OPERATOR_REWRITE_GRACE", 0.0)
 
 
 def wait_for_no_target(patch):
-    patch("citronspring.tokens.rewrites.TARGET_REWRITE", -1.0)
+    patch("citronspring.tokens.restore_grace.TARGET_REWRITE_GRACE", -1.0)
 
 
 #: Mutants, with the promise that is broken and seeds that show it.
--- a/tests/test_emulator/test_zones.py
+++ b/tests/test_emulator/test_zones.py
@@ -80,7 +80,7 @@
 
 
 def act_without_own_control(patch):
-    patch.setattr("citronspring.tokens.evidence.works", lambda *a, **k: True)
+    patch.setattr("citronspring.tokens.evidence.local_path_works", lambda *a, **k: True)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform/test_store.py
+++ b/tests/test_platform/test_store.py
@@ -14,8 +14,8 @@
 from citronspring.tokens.entities import Share, route_key
 from citronspring.tokens.entries import (
     Configuration,
-    Removed,
     Target,
+    TargetRemoved,
     Unreadable,
     ZoneDrain,
 )
@@ -255,7 +255,7 @@
     assert isinstance(answer, Changes)
     first, second = answer.changes
     assert isinstance(first, Target)
-    assert isinstance(second, Removed)
+    assert isinstance(second, TargetRemoved)
     assert (second.target_id, second.revision) == ("i-2", 413)
     assert answer.revision == 414
 
--- a/tests/test_platform/test_store_restore.py
+++ b/tests/test_platform/test_store_restore.py
@@ -9,10 +9,10 @@
 from citronspring.endpoints import Endpoint
 from citronspring.platform.__main__ import PLATFORM_ADAPTER
 from citronspring.tokens.balancer import TokenBalancer
-from citronspring.tokens.evidence import GONE_CERTAIN, certainly_gone
+from citronspring.tokens.change_feed import FeedPoll, decode_feed
+from citronspring.tokens.evidence import REMOVAL_GRACE, is_removal_confirmed
 from citronspring.tokens.messages import FollowReader
-from citronspring.tokens.news import Poll, decode_news
-from citronspring.tokens.reader import is_current
+from citronspring.tokens.store_reader import is_current
 from soak.store import StoreStandIn
 from tests.test_platform.test_store import CONFIGURATION, TARGET
 from tests.test_tokens.zone import TIMES
@@ -69,16 +69,16 @@
         return PLATFORM_ADAPTER.decode_answer(call, status, body, headers)
 
     def take(self, call, answer):
-        self.core.take_answer(call, answer, self.now, self.now)
+        self.core.handle_store_answer(call, answer, self.now, self.now)
 
     def follow(self, reader):
         """Ask the zone's reader for news, and the store if that is of no use."""
         after = self.tables.reader.revision
-        poll = Poll(after, reader.now, reader.now)
+        poll = FeedPoll(after, reader.now, reader.now)
         call = FollowReader(Endpoint("10.1.0.9", 8166), after, 0.0)
         failures = self.tables.follow.failures
         self.now = reader.now
-        self.take(call, decode_news(*reader.core.answer_poll(poll, reader.now)))
+        self.take(call, decode_feed(*reader.core.answer_poll(poll, reader.now)))
         if self.tables.follow.failures > failures:
             self.run(CALLS_TO_CONVERGE)
 
@@ -329,13 +329,13 @@
     store.restore(copy)
     host.run(CALLS_TO_CONVERGE)
     row = host.tables.targets[STARTED[0]]
-    host.wait(GONE_CERTAIN)
+    host.wait(REMOVAL_GRACE)
     store.restore(copy)
     host.run(CALLS_TO_CONVERGE)
-    assert not certainly_gone(host.tables, row, host.now)
-    host.wait(2 * GONE_CERTAIN)
+    assert not is_removal_confirmed(host.tables, row, host.now)
+    host.wait(2 * REMOVAL_GRACE)
     host.run(1)
-    assert certainly_gone(host.tables, row, host.now)
+    assert is_removal_confirmed(host.tables, row, host.now)
 
 
 def test_follower_learns_of_a_configuration_its_reader_had_before_the_restore(store):
--- a/tests/test_tokens/driver.py
+++ b/tests/test_tokens/driver.py
@@ -6,7 +6,7 @@
 from citronspring.tcp_flags import ACK, FIN, SYN
 from citronspring.tokens.balancer import TokenBalancer
 from citronspring.tokens.entities import Packet, Route, Share, route_key, token_of
-from citronspring.tokens.entries import Configuration, Removed, Target, Unreadable
+from citronspring.tokens.entries import Configuration, Target, TargetRemoved, Unreadable
 from citronspring.tokens.messages import (
     Changes,
     Drop,
@@ -88,7 +88,7 @@
     def answer(self, answer, sent_at=None):
         """Give the core the answer to its call."""
         sent_at = self.now if sent_at is None else sent_at
-        actions = self.core.take_answer(self.call, answer, sent_at, self.now)
+        actions = self.core.handle_store_answer(self.call, answer, sent_at, self.now)
         return self.keep(actions)
 
     def change(self, *changes):
@@ -98,7 +98,7 @@
 
     def remove(self, number):
         """Have a target's entry go from the store."""
-        self.change(Removed(f"i-{number:x}", self.revision + 1))
+        self.change(TargetRemoved(f"i-{number:x}", self.revision + 1))
 
     def lose_store(self):
         """Have the call under way come to nothing."""
@@ -172,10 +172,10 @@
         """Open the flow at the target that the host chose; return its row."""
         action = self.open()
         assert isinstance(action, Forward), action
-        self.take_answer(action.target)
+        self.handle_store_answer(action.target)
         return action.target
 
-    def take_answer(self, row):
+    def handle_store_answer(self, row):
         """Take a target's answer to the opening and confirm it."""
         self.token = token_of(row.target.incarnation)
         self.seq += 1
--- a/tests/test_tokens/test_admission.py
+++ b/tests/test_tokens/test_admission.py
@@ -10,9 +10,9 @@
 from citronspring.tokens.admission import (
     note_answer_size,
     note_time_to_answer,
-    refused_share,
+    shed_fraction,
 )
-from citronspring.tokens.codec import decode_route, plain_route
+from citronspring.tokens.codec import decode_route, encode_route
 from citronspring.tokens.entities import Packet, Route, Share
 from citronspring.tokens.messages import Forward, ResetCaller, ResetReason
 from citronspring.tokens.rows import AnswerRow, ServiceRow
@@ -155,18 +155,18 @@
 
 def test_share_of_a_route_stays_between_none_and_all():
     route = make_route(STREAMS, priority=2)
-    assert refused_share(0.0, route, 2) == 0.0
-    assert refused_share(9.0, route, 2) == 1.0
+    assert shed_fraction(0.0, route, 2) == 0.0
+    assert shed_fraction(9.0, route, 2) == 1.0
 
 
 def test_objective_and_priority_are_handed_on():
     for objective in (OBJECTIVE, math.inf):
         route = make_route(STREAMS, priority=1, objective=objective)
-        assert decode_route(plain_route(route)) == route
+        assert decode_route(encode_route(route)) == route
 
 
 def test_copy_of_an_older_release_refuses_nobody():
-    plain = plain_route(make_route(STREAMS, priority=1))
+    plain = encode_route(make_route(STREAMS, priority=1))
     del plain["objective"], plain["priority"]
     assert decode_route(plain).objective == math.inf
 
--- a/tests/test_tokens/test_news.py
+++ b/tests/test_tokens/test_change_feed.py
@@ -9,19 +9,24 @@
 import pytest
 
 from citronspring.endpoints import Endpoint
-from citronspring.tokens import news as news_module
+from citronspring.tokens import news as change_feed_module
+from citronspring.tokens.change_feed import (
+    MAX_LOGGED_CHANGES,
+    FeedPoll,
+    answer_poll,
+    decode_feed,
+)
 from citronspring.tokens.entities import Route, Share
-from citronspring.tokens.entries import ReaderRemoved, Removed, Target, ZoneReader
+from citronspring.tokens.entries import ReaderRemoved, Target, TargetRemoved, ZoneReader
 from citronspring.tokens.messages import (
     Changes,
+    FeedAnswer,
     HistoryLost,
     Page,
-    ReaderNews,
     Unanswered,
     WatchEntries,
 )
-from citronspring.tokens.news import MOST_CHANGES, Poll, answer_poll, decode_news
-from citronspring.tokens.reader import TIMER_MARGIN
+from citronspring.tokens.store_reader import TIMER_MARGIN
 from tests.test_tokens.driver import (
     STREAMS,
     Driver,
@@ -39,8 +44,8 @@
 
 
 def test_reader_watches_the_store_with_shorter_waits():
-    assert next_call(leader()) == WatchEntries(2, TIMES.lead_wait)
-    assert TIMES.lead_wait < TIMES.wait
+    assert next_call(leader()) == WatchEntries(2, TIMES.zone_reader_wait)
+    assert TIMES.zone_reader_wait < TIMES.wait
 
 
 def test_followers_get_what_is_newer_than_theirs():
@@ -51,7 +56,7 @@
     everything = ask(driver, after=2)
     assert [type(change).__name__ for change in everything.changes] == [
         "Target",
-        "Removed",
+        "TargetRemoved",
         "ConfigurationChange",
     ]
     assert everything.revision == 5
@@ -97,9 +102,9 @@
         next_call(driver)
         driver.answer(HistoryLost())
         driver.list_store(make_configuration(), make_target(1), revision=20)
-    assert isinstance(ask(driver, after=2), ReaderNews)
+    assert isinstance(ask(driver, after=2), FeedAnswer)
     assert isinstance(ask(driver, after=10), HistoryLost)
-    assert isinstance(ask(driver, after=20), ReaderNews)
+    assert isinstance(ask(driver, after=20), FeedAnswer)
 
 
 def test_change_of_the_reader_itself_is_handed_on():
@@ -118,11 +123,11 @@
 
 def test_follower_waits_for_news_or_a_confirmation():
     driver = leader()
-    poll = Poll(2, driver.now, driver.now + 2.0)
+    poll = FeedPoll(2, driver.now, driver.now + 2.0)
     assert driver.core.answer_poll(poll, driver.now) is None
     next_call(driver)
-    driver.now += TIMES.lead_wait
-    driver.answer(Changes((), None), sent_at=driver.now - TIMES.lead_wait)
+    driver.now += TIMES.zone_reader_wait
+    driver.answer(Changes((), None), sent_at=driver.now - TIMES.zone_reader_wait)
     news = decode_answer(driver.core.answer_poll(poll, driver.now))
     assert news.changes == ()
     assert news.age == pytest.approx(TIMER_MARGIN)
@@ -131,7 +136,7 @@
 
 def test_follower_is_answered_when_its_time_is_up():
     driver = leader()
-    poll = Poll(2, driver.now, driver.now + 0.4)
+    poll = FeedPoll(2, driver.now, driver.now + 0.4)
     assert driver.core.answer_poll(poll, driver.now + 0.3) is None
     news = decode_answer(driver.core.answer_poll(poll, driver.now + 0.4))
     assert news.age == pytest.approx(0.4)
@@ -139,7 +144,7 @@
 
 def test_reader_that_cannot_vouch_says_so_at_once():
     driver = leader()
-    poll = Poll(2, driver.now, driver.now + 60.0)
+    poll = FeedPoll(2, driver.now, driver.now + 60.0)
     late = driver.now + TIMES.follow_age + 0.01
     assert driver.core.answer_poll(poll, late)[0] == 503
     next_call(driver)
@@ -157,10 +162,10 @@
     """
     driver = leader()
     assert isinstance(ask(driver, after=0), HistoryLost)
-    for number in range(MOST_CHANGES + 1):
+    for number in range(MAX_LOGGED_CHANGES + 1):
         driver.change(make_target(5, revision=10 + number))
     assert isinstance(ask(driver, after=2), HistoryLost)
-    assert isinstance(ask(driver, after=driver.revision - 1), ReaderNews)
+    assert isinstance(ask(driver, after=driver.revision - 1), FeedAnswer)
 
 
 def test_what_a_second_list_brings_is_handed_on():
@@ -174,7 +179,7 @@
     named = driver.tables.zone_readers["north"]
     driver.list_store(make_configuration(), make_target(2), named, revision=9)
     (removed,) = ask(driver, after=2).changes
-    assert isinstance(removed, Removed)
+    assert isinstance(removed, TargetRemoved)
     assert removed.target_id == "i-1"
 
 
@@ -189,10 +194,10 @@
 @pytest.mark.parametrize("name", ["revision", "age", "held", "changes"])
 def test_news_of_another_shape_are_no_answer(name):
     driver = leader()
-    poll = Poll(2, driver.now, driver.now)
+    poll = FeedPoll(2, driver.now, driver.now)
     _, body = answer_poll(driver.tables, TIMES, poll, driver.now)
     broken = {**json.loads(body), name: "x"}
-    assert isinstance(decode_news(200, json.dumps(broken).encode()), Unanswered)
+    assert isinstance(decode_feed(200, json.dumps(broken).encode()), Unanswered)
 
 
 def test_quiet_watch_confirms_the_time_that_it_waited():
@@ -204,9 +209,9 @@
     driver = leader()
     next_call(driver)
     sent_at = driver.now
-    driver.now += TIMES.lead_wait + 0.004
+    driver.now += TIMES.zone_reader_wait + 0.004
     driver.answer(Changes((), None), sent_at=sent_at)
-    waited = TIMES.lead_wait - TIMER_MARGIN
+    waited = TIMES.zone_reader_wait - TIMER_MARGIN
     assert driver.tables.reader.current_at == pytest.approx(sent_at + waited)
 
 
@@ -219,16 +224,16 @@
     driver = leader()
     next_call(driver)
     sent_at = driver.now
-    driver.now += TIMES.lead_wait - 0.001
+    driver.now += TIMES.zone_reader_wait - 0.001
     driver.answer(Changes((), None), sent_at=sent_at)
-    assert driver.tables.reader.current_at > sent_at + TIMES.lead_wait - 0.1
+    assert driver.tables.reader.current_at > sent_at + TIMES.zone_reader_wait - 0.1
 
 
 def test_quiet_watch_that_ends_early_confirms_only_its_beginning():
     driver = leader()
     next_call(driver)
     sent_at = driver.now
-    driver.now += TIMES.lead_wait / 2
+    driver.now += TIMES.zone_reader_wait / 2
     driver.answer(Changes((), None), sent_at=sent_at)
     assert driver.tables.reader.current_at == sent_at
 
@@ -244,10 +249,10 @@
     driver.change(ZoneReader("north", "host-1", Endpoint("10.1.0.9", 8166), 2))
     routes[7] = make_route(STREAMS + 7, idempotent=False)
     driver.change(make_configuration(5, routes[:-1]))
-    poll = Poll(2, driver.now, driver.now)
+    poll = FeedPoll(2, driver.now, driver.now)
     _, body = driver.core.answer_poll(poll, driver.now)
     assert len(body) < 500
-    (change,) = decode_news(200, body).changes
+    (change,) = decode_feed(200, body).changes
     assert (change.base, change.revision) == (3, 5)
     assert [route.key for route in change.routes] == [STREAMS + 7]
     assert change.removed == (STREAMS + 239,)
@@ -260,16 +265,16 @@
     others are sent to the store, and callers' packets keep their room.
     """
     driver = leader()
-    driver.tables.news.rate = 50_000.0
+    driver.tables.change_log.rate = 50_000.0
     draw = Random(1)
     routes = [make_named_route(draw, number) for number in range(1400)]
     driver.change(make_configuration(5, routes))
     answers = [ask(driver, after=2) for _ in range(10)]
-    served = [one for one in answers if isinstance(one, ReaderNews)]
+    served = [one for one in answers if isinstance(one, FeedAnswer)]
     assert 0 < len(served) < 5
     assert isinstance(answers[-1], HistoryLost)
     driver.now += 1.0
-    assert isinstance(ask(driver, after=2), ReaderNews)
+    assert isinstance(ask(driver, after=2), FeedAnswer)
 
 
 class CountedLog(deque):
@@ -298,10 +303,12 @@
     driver = leader()
     for number in range(500):
         driver.change(make_target(5, revision=10 + number))
-    driver.tables.news.changes = log = CountedLog(driver.tables.news.changes)
+    driver.tables.change_log.changes = log = CountedLog(
+        driver.tables.change_log.changes
+    )
     newest = driver.tables.reader.revision
     for _ in range(14):
-        poll = Poll(newest, driver.now, driver.now + 2.0)
+        poll = FeedPoll(newest, driver.now, driver.now + 2.0)
         assert driver.core.answer_poll(poll, driver.now) is None
     assert log.looked_at <= 14
 
@@ -315,14 +322,14 @@
     626 "too far behind it".
     """
     driver = leader()
-    driver.tables.news.rate = 625_000.0
+    driver.tables.change_log.rate = 625_000.0
     draw = Random(1)
     routes = [make_named_route(draw, number) for number in range(1400)]
     driver.change(make_configuration(5, routes))
     served = []
     for _ in range(2):
         answers = [ask(driver, after=2) for _ in range(25 - len(served))]
-        served += [one for one in answers if isinstance(one, ReaderNews)]
+        served += [one for one in answers if isinstance(one, FeedAnswer)]
         driver.now += 0.5
     assert len(served) == 25
     for news in served:
@@ -346,9 +353,11 @@
     routes = [make_route(STREAMS + number) for number in range(1400)]
     driver.change(make_configuration(5, routes))
     written = []
-    plain = news_module.plain_change
+    plain = change_feed_module.encode_change
     monkeypatch.setattr(
-        news_module, "plain_change", lambda one: written.append(one) or plain(one)
+        change_feed_module,
+        "encode_change",
+        lambda one: written.append(one) or plain(one),
     )
     for _ in range(25):
         assert len(ask(driver, after=2).changes) == 1
@@ -361,11 +370,11 @@
     driver = leader()
     routes = [make_route(STREAMS + number) for number in range(200)]
     driver.change(make_configuration(5, routes))
-    poll = Poll(2, driver.now, driver.now)
+    poll = FeedPoll(2, driver.now, driver.now)
     _, body = driver.core.answer_poll(poll, driver.now)
     assert not body.startswith(b"{")
-    assert isinstance(decode_news(200, body[:-size]), Unanswered)
-    assert isinstance(decode_news(200, b"x" * size), Unanswered)
+    assert isinstance(decode_feed(200, body[:-size]), Unanswered)
+    assert isinstance(decode_feed(200, b"x" * size), Unanswered)
 
 
 @pytest.mark.parametrize("waited", [0.0, 0.4, 0.9, 1.4])
@@ -389,7 +398,7 @@
             call = next_call(driver)
             sent_at = driver.now
             driver.now += call.wait + 0.05
-            poll = Poll(driver.revision, sent_at, driver.now + 10.0)
+            poll = FeedPoll(driver.revision, sent_at, driver.now + 10.0)
             found = driver.core.answer_poll(poll, driver.now)
             assert found is None or found[0] == 200
             driver.answer(Changes((), None), sent_at=sent_at)
--- a/tests/test_tokens/test_drains.py
+++ b/tests/test_tokens/test_drains.py
@@ -7,23 +7,23 @@
 import pytest
 
 from citronspring.events import OPENING_REFUSED, ZONE_DRAIN_CHANGED
-from citronspring.tokens.copies import decode_copy
+from citronspring.tokens.change_feed import decode_feed
 from citronspring.tokens.entries import ZoneDrain
 from citronspring.tokens.messages import (
     Changes,
     Drop,
     DropReason,
+    FeedAnswer,
     Forward,
     HistoryLost,
     ListEntries,
     Page,
-    PeerCopy,
-    ReaderNews,
+    PeerSnapshot,
     ResetReason,
     Unanswered,
     WatchEntries,
 )
-from citronspring.tokens.news import decode_news
+from citronspring.tokens.peer_snapshot import decode_snapshot
 from tests.test_tokens.driver import (
     ORDERS,
     Driver,
@@ -32,7 +32,7 @@
     reason_of,
     target_of,
 )
-from tests.test_tokens.test_peers import copy_of, started
+from tests.test_tokens.test_peer_snapshot import snapshot_of, started
 from tests.test_tokens.zone import ask, follower, leader, next_call
 
 
@@ -217,14 +217,14 @@
     status, body = reader.core.answer_poll(ask_poll(reader), reader.now)
     plain = json.loads(body)
     del plain["format"]
-    assert isinstance(decode_news(status, json.dumps(plain).encode()), Unanswered)
-    assert isinstance(decode_news(status, body), ReaderNews)
+    assert isinstance(decode_feed(status, json.dumps(plain).encode()), Unanswered)
+    assert isinstance(decode_feed(status, body), FeedAnswer)
 
 
 def ask_poll(driver):
-    from citronspring.tokens.news import Poll
+    from citronspring.tokens.change_feed import FeedPoll
 
-    return Poll(driver.tables.reader.revision, driver.now, driver.now)
+    return FeedPoll(driver.tables.reader.revision, driver.now, driver.now)
 
 
 def test_copies_hold_drains():
@@ -232,7 +232,7 @@
     peer = Driver(make_target(1), make_target(2, "south"))
     drain(peer)
     driver = started(Driver(make_target(1)))
-    driver.answer(copy_of(peer))
+    driver.answer(snapshot_of(peer))
     assert placed(driver, range(6)) == {"i-2"}
 
 
@@ -243,11 +243,11 @@
     in a zone that was drained before, for as long as that lasts.
     """
     peer = Driver(make_target(1), make_target(2, "south"))
-    status, body = peer.core.copy(peer.now)
+    status, body = peer.core.snapshot(peer.now)
     plain = json.loads(body)
     del plain["format"], plain["drains"]
-    copy = decode_copy(status, json.dumps(plain).encode())
-    assert isinstance(copy, PeerCopy)
+    copy = decode_snapshot(status, json.dumps(plain).encode())
+    assert isinstance(copy, PeerSnapshot)
     driver = started(Driver(make_target(1)))
     driver.answer(copy)
     assert driver.core.ready
@@ -259,19 +259,19 @@
     """The host has heard of a drain, and then of the configuration by such a copy."""
     peer = Driver(make_target(1), make_target(2, "south"))
     peer.change(make_target(3, "south", revision=2))
-    status, body = peer.core.copy(peer.now)
+    status, body = peer.core.snapshot(peer.now)
     plain = json.loads(body)
     del plain["format"], plain["drains"]
     driver = started(Driver(make_target(1)))
     driver.answer(Page((ZoneDrain("north", 1),), 1, None))
-    driver.answer(decode_copy(status, json.dumps(plain).encode()))
+    driver.answer(decode_snapshot(status, json.dumps(plain).encode()))
     assert "i-1" not in placed(driver, range(6))
 
 
 def test_host_goes_on_from_a_whole_copy():
     peer = Driver(make_target(1))
     driver = started(Driver(make_target(1)))
-    driver.answer(copy_of(peer))
+    driver.answer(snapshot_of(peer))
     assert isinstance(next_call(driver), WatchEntries)
 
 
--- a/tests/test_tokens/test_election.py
+++ b/tests/test_tokens/test_election.py
@@ -6,9 +6,9 @@
 
 from citronspring.endpoints import Endpoint
 from citronspring.tokens.election import (
-    CLAIM_SPREAD,
+    CLAIM_JITTER,
     LEASE_SECONDS,
-    RENEW_SHARE,
+    RENEWAL_FRACTION,
     claim_delay,
 )
 from citronspring.tokens.entries import ReaderRemoved, ZoneReader, ordered_revision
@@ -43,7 +43,7 @@
 
     def answer(self, call, answer, now=None):
         now = self.driver.now if now is None else now
-        self.core.take_election_answer(call, answer, now, now)
+        self.core.handle_election_answer(call, answer, now, now)
 
     def hold_lease(self):
         """Have the host claim its zone with success; return it."""
@@ -96,18 +96,18 @@
 def test_registered_reader_renews_its_lease_in_time():
     candidate = Candidate().register()
     assert candidate.next_call() is None
-    candidate.driver.now += RENEW_SHARE * LEASE_SECONDS
+    candidate.driver.now += RENEWAL_FRACTION * LEASE_SECONDS
     assert candidate.next_call() == RenewLease(7)
     candidate.answer(RenewLease(7), Done())
     assert candidate.next_call() is None
-    assert 2 * RENEW_SHARE * LEASE_SECONDS + 0.5 < LEASE_SECONDS
+    assert 2 * RENEWAL_FRACTION * LEASE_SECONDS + 0.5 < LEASE_SECONDS
 
 
 def test_reader_that_cannot_read_lets_its_lease_end():
     """The store serves its renewals but not its reads; the zone waits for news."""
     candidate = Candidate().register()
     candidate.driver.lose_store()
-    candidate.driver.now += RENEW_SHARE * LEASE_SECONDS
+    candidate.driver.now += RENEWAL_FRACTION * LEASE_SECONDS
     assert candidate.next_call() is None
 
 
@@ -139,7 +139,7 @@
 
 def test_lease_that_the_store_has_ended_is_dropped():
     candidate = Candidate().register()
-    candidate.driver.now += RENEW_SHARE * LEASE_SECONDS
+    candidate.driver.now += RENEWAL_FRACTION * LEASE_SECONDS
     candidate.answer(candidate.next_call(), LeaseLost())
     assert candidate.core.tables.election.lease == 0
     assert candidate.next_call() is None
@@ -176,7 +176,7 @@
 def test_larger_hosts_claim_sooner():
     small, large = claim_delay("host-1", 0.16), claim_delay("host-1", 2.0)
     assert small > large
-    assert claim_delay("host-1", 0.001) <= CLAIM_SPREAD + 2.0
+    assert claim_delay("host-1", 0.001) <= CLAIM_JITTER + 2.0
 
 
 def test_hosts_of_a_zone_claim_at_different_times():
@@ -206,7 +206,7 @@
     second.driver.change(OTHER)
     failing.driver.lose_store()
     for candidate in (second, failing):
-        candidate.driver.now += RENEW_SHARE * LEASE_SECONDS + 0.1
+        candidate.driver.now += RENEWAL_FRACTION * LEASE_SECONDS + 0.1
         assert candidate.next_call() is None
         assert candidate.core.next_election_deadline() > candidate.driver.now
 
@@ -239,7 +239,7 @@
         candidate.answer(claim, Done())
         assert candidate.next_call() is None
         candidate.driver.change(ZoneReader("north", "host-1", OWN, 5))
-        candidate.driver.now += RENEW_SHARE * LEASE_SECONDS
+        candidate.driver.now += RENEWAL_FRACTION * LEASE_SECONDS
         assert candidate.next_call() == RenewLease(8)
 
     def test_leaves_the_zone_to_another_who_came_first(self):
@@ -293,5 +293,5 @@
     candidate = Candidate().register()
     reader = ZoneReader("north", "host-1", OWN, ordered_revision(1, 2))
     restore(candidate.driver, reader)
-    candidate.driver.now += RENEW_SHARE * LEASE_SECONDS
+    candidate.driver.now += RENEWAL_FRACTION * LEASE_SECONDS
     assert candidate.next_call() == RenewLease(7)
--- a/tests/test_tokens/test_evidence.py
+++ b/tests/test_tokens/test_evidence.py
@@ -35,8 +35,8 @@
         caller.send(16, 1200, seq=caller.seq + 1200)
         driver.now += 0.005
         caller.send(16, 1200, seq=caller.seq)
-        assert row.silences == 0
-        assert driver.tables.flows[caller.flow].repeats == 0
+        assert row.timeouts == 0
+        assert driver.tables.flows[caller.flow].retransmissions == 0
 
     def test_bytes_sent_again_after_the_timeout_are(self):
         driver = Driver(make_target(1))
@@ -45,7 +45,7 @@
         caller.ask()
         driver.now += 0.2
         caller.ask_again()
-        assert row.silences == 1
+        assert row.timeouts == 1
 
 
 class TestReset:
@@ -74,7 +74,7 @@
         caller.ask()
         driver.wait(1.0)
         assert isinstance(caller.take_response(), Forward)
-        assert row.silences == 0
+        assert row.timeouts == 0
 
     def test_copies_of_one_request_are_one_witness(self):
         """Two copies of a preview's request are lost in a burst, then one arrives.
--- a/tests/test_tokens/test_following.py
+++ b/tests/test_tokens/test_following.py
@@ -10,9 +10,9 @@
 from citronspring.tokens.entries import ConfigurationChange, ReaderRemoved, ZoneReader
 from citronspring.tokens.messages import (
     Changes,
+    FeedAnswer,
     FollowReader,
     HistoryLost,
-    ReaderNews,
     Refused,
     Unanswered,
     WatchEntries,
@@ -44,7 +44,7 @@
     age = driver.now - driver.tables.reader.current_at
     assert call == FollowReader(READER.endpoint, 2, TIMES.follow_age - age)
     driver.now += 1.0
-    driver.answer(ReaderNews((), 5, 0.1, 1.0), sent_at=driver.now - 1.0)
+    driver.answer(FeedAnswer((), 5, 0.1, 1.0), sent_at=driver.now - 1.0)
     assert isinstance(next_call(driver), FollowReader)
     assert driver.tables.reader.revision == 5
     assert driver.tables.reader.current_at == pytest.approx(driver.now - 0.1)
@@ -97,7 +97,7 @@
     driver = follower()
     driver.now += 10.0
     next_call(driver)
-    driver.answer(ReaderNews((), 5, age, 0.0))
+    driver.answer(FeedAnswer((), 5, age, 0.0))
     call = next_call(driver)
     given_up_at = driver.core.answer_deadline(call, driver.now)
     assert isinstance(call, FollowReader)
@@ -112,7 +112,7 @@
     """
     driver = follower()
     next_call(driver)
-    driver.answer(ReaderNews((), 5, TIMES.follow_age + 0.01, 0.0))
+    driver.answer(FeedAnswer((), 5, TIMES.follow_age + 0.01, 0.0))
     assert next_call(driver) == WatchEntries(5, 0.0)
     assert TIMES.follow_age + STORE_CALL < BOUND
 
@@ -127,7 +127,7 @@
     next_call(driver)
     sent_at = driver.now
     driver.now += 10.0
-    driver.answer(ReaderNews((), 5, 0.0, 0.5), sent_at=sent_at)
+    driver.answer(FeedAnswer((), 5, 0.0, 0.5), sent_at=sent_at)
     assert driver.tables.reader.current_at == pytest.approx(sent_at + 0.5)
     assert isinstance(next_call(driver), WatchEntries)
 
@@ -160,7 +160,7 @@
     driver.now = driver.tables.follow.retry_at
     assert isinstance(next_call(driver), FollowReader)
     newest = ConfigurationChange(1, 9, 15.0, (), ())
-    driver.answer(ReaderNews((newest,), 12, 0.1, 0.0))
+    driver.answer(FeedAnswer((newest,), 12, 0.1, 0.0))
     assert driver.tables.configuration == 9
     assert isinstance(next_call(driver), FollowReader)
 
@@ -168,7 +168,7 @@
 def test_loss_of_the_reader_is_logged_once_with_its_cause():
     driver = follower()
     next_call(driver)
-    driver.answer(ReaderNews((), 5, 0.1, 0.0))
+    driver.answer(FeedAnswer((), 5, 0.1, 0.0))
     next_call(driver)
     driver.lose_store()
     (lost,) = [log for log in driver.logs if log.number == READER_LOST.number]
@@ -182,7 +182,7 @@
     driver.change(READER)
     next_call(driver)
     older = ConfigurationChange(5, 6, 15.0, (), (ORDERS,))
-    driver.answer(ReaderNews((older,), 1, 0.1, 0.0))
+    driver.answer(FeedAnswer((older,), 1, 0.1, 0.0))
     assert driver.tables.configuration == 7
     assert ORDERS in driver.tables.routes
     assert driver.tables.reader.revision == 2
@@ -212,7 +212,7 @@
     driver = follower()
     next_call(driver)
     later = ConfigurationChange(5, 9, 15.0, (), (ORDERS,))
-    driver.answer(ReaderNews((later,), 12, 0.1, 0.0))
+    driver.answer(FeedAnswer((later,), 12, 0.1, 0.0))
     assert driver.tables.configuration == 1
     assert next_call(driver) == WatchEntries(2, 0.0)
 
@@ -285,7 +285,7 @@
         change = ConfigurationChange(
             revision - 1, revision, 15.0, (changed,), (STREAMS + revision + 100,)
         )
-        driver.answer(ReaderNews((change,), 10 + revision, 0.0, 0.0))
+        driver.answer(FeedAnswer((change,), 10 + revision, 0.0, 0.0))
     assert driver.tables.routes is counted
     assert counted.looked_at == 0
     assert counted[STREAMS + 7] == changed
--- a/tests/test_tokens/test_inquiry.py
+++ b/tests/test_tokens/test_inquiry.py
@@ -9,16 +9,16 @@
 from hypothesis import strategies as st
 
 from citronspring.endpoints import Endpoint
+from citronspring.tokens.change_feed import FeedPoll
 from citronspring.tokens.entries import ZoneReader
 from citronspring.tokens.inquiry import (
-    DENIALS_LAST,
-    REPLY_WAIT,
-    REPORT_LASTS,
-    VERDICT_LASTS,
+    REFUTATION_WINDOW,
+    REPLY_TIMEOUT,
+    REPORT_LIFETIME,
+    VERDICT_LIFETIME,
 )
+from citronspring.tokens.local_path import note_disturbance
 from citronspring.tokens.messages import Forward, ResetReason, Tell
-from citronspring.tokens.news import Poll
-from citronspring.tokens.own_path import note_disturbance
 from citronspring.tokens.placement import choose_target
 from citronspring.tokens.suspicions import (
     Inquiry,
@@ -68,7 +68,7 @@
 
     def poll(self, address):
         """Have a follower ask the reader for news."""
-        poll = Poll(self.reader.revision, self.now, self.now + 2.0, address)
+        poll = FeedPoll(self.reader.revision, self.now, self.now + 2.0, address)
         self.reader.core.answer_poll(poll, self.now)
 
     def pass_time(self, seconds, step=0.01):
@@ -90,7 +90,7 @@
                 continue
             message = decode_message(encode_message(action.message))
             other = self.hosts[action.to]
-            answers = other.core.take_host_message(message, source, self.now)
+            answers = other.core.handle_host_message(message, source, self.now)
             self.deliver(action.to, answers)
 
     def connect(self, address, port, route=STREAMS):
@@ -99,7 +99,7 @@
         caller = driver.caller(port, route)
         row = driver.tables.targets[f"i-{DEAD:x}"]
         caller.open()
-        caller.take_answer(row)
+        caller.handle_store_answer(row)
         caller.ack = 5001
         return caller
 
@@ -135,7 +135,7 @@
     zone = ZoneOfHosts()
     late = zone.connect(FOLLOWERS[5], 99)
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_WAIT)
+    zone.pass_time(2 * REPLY_TIMEOUT)
     assert all(zone.believes_lost(address) for address in zone.hosts)
     action = late.ask()
     assert reason_of(action) == ResetReason.TARGET_UNREACHABLE
@@ -144,7 +144,7 @@
 def test_new_flows_go_elsewhere_at_once():
     zone = ZoneOfHosts()
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_WAIT)
+    zone.pass_time(2 * REPLY_TIMEOUT)
     tables = zone.hosts[FOLLOWERS[5]].tables
     ids = {
         choose_target(tables, "previews", [], zone.now).target.target_id
@@ -157,7 +157,7 @@
     zone = ZoneOfHosts()
     order = zone.connect(FOLLOWERS[5], 99, ORDERS)
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_WAIT)
+    zone.pass_time(2 * REPLY_TIMEOUT)
     assert isinstance(order.ask(), Forward)
 
 
@@ -172,7 +172,7 @@
     """
     zone = ZoneOfHosts()
     zone.lose_requests(addresses)
-    zone.pass_time(2 * REPLY_WAIT)
+    zone.pass_time(2 * REPLY_TIMEOUT)
     assert zone.reader.tables.inquiry.number == 0
 
 
@@ -187,9 +187,9 @@
     zone.lose_requests(REPORTING)
     other.ask()
     other.take_response()
-    zone.pass_time(2 * REPLY_WAIT)
+    zone.pass_time(2 * REPLY_TIMEOUT)
     assert not any(zone.believes_lost(address) for address in zone.hosts)
-    assert zone.reader.tables.inquiry.denied_at
+    assert zone.reader.tables.inquiry.refuted_at
 
 
 def test_without_replies_nothing_is_believed():
@@ -202,7 +202,7 @@
     zone.lose_requests(REPORTING)
     zone.pass_time(0.01)
     zone.silent = set(FOLLOWERS[1:])
-    zone.pass_time(2 * REPLY_WAIT)
+    zone.pass_time(2 * REPLY_TIMEOUT)
     assert zone.reader.tables.inquiry.number == 1
     assert not any(zone.believes_lost(address) for address in zone.hosts)
 
@@ -216,8 +216,8 @@
     zone.lose_requests(REPORTING)
     zone.pass_time(0.01)
     for address in FOLLOWERS[1:]:
-        note_disturbance(zone.hosts[address].tables.own_path, zone.now)
-    zone.pass_time(2 * REPLY_WAIT)
+        note_disturbance(zone.hosts[address].tables.local_path, zone.now)
+    zone.pass_time(2 * REPLY_TIMEOUT)
     assert zone.reader.tables.inquiry.number == 1
     assert not zone.believes_lost(FOLLOWERS[0])
 
@@ -230,9 +230,9 @@
     zone = ZoneOfHosts()
     late = zone.connect(FOLLOWERS[5], 99)
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_WAIT)
+    zone.pass_time(2 * REPLY_TIMEOUT)
     assert zone.believes_lost(FOLLOWERS[5])
-    zone.hosts[FOLLOWERS[5]].tables.own_path.answers.clear()
+    zone.hosts[FOLLOWERS[5]].tables.local_path.answers.clear()
     assert isinstance(late.ask(), Forward)
 
 
@@ -241,7 +241,7 @@
     driver = zone.hosts[FOLLOWERS[0]]
     driver.tables.targets[f"i-{DEAD:x}"].answered_at = zone.now
     verdict = Verdict((Suspicion(DEAD, 0.3),))
-    driver.keep(driver.core.take_host_message(verdict, READER, zone.now + 0.1))
+    driver.keep(driver.core.handle_host_message(verdict, READER, zone.now + 0.1))
     assert not zone.believes_lost(FOLLOWERS[0])
 
 
@@ -253,14 +253,14 @@
     driver.change(make_target(DEAD, revision=9, started=2))
     driver.change(make_target(DEAD, revision=10, started=3))
     verdict = Verdict((Suspicion(DEAD, 0.3),))
-    driver.keep(driver.core.take_host_message(verdict, READER, zone.now))
+    driver.keep(driver.core.handle_host_message(verdict, READER, zone.now))
     assert not zone.believes_lost(FOLLOWERS[0])
 
 
 def test_an_answer_ends_the_belief():
     zone = ZoneOfHosts()
     callers = zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_WAIT)
+    zone.pass_time(2 * REPLY_TIMEOUT)
     assert zone.believes_lost(FOLLOWERS[0])
     callers[0].take_response()
     assert not zone.believes_lost(FOLLOWERS[0])
@@ -269,7 +269,7 @@
 def test_belief_ends_by_itself():
     zone = ZoneOfHosts()
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_WAIT + VERDICT_LASTS)
+    zone.pass_time(2 * REPLY_TIMEOUT + VERDICT_LIFETIME)
     assert not any(zone.believes_lost(address) for address in zone.hosts)
 
 
@@ -280,13 +280,13 @@
     on a target that no host happens to have heard of is not lost either.
     """
     zone = ZoneOfHosts()
-    zone.reader.tables.inquiry.denied_at.extend([zone.now, zone.now])
+    zone.reader.tables.inquiry.refuted_at.extend([zone.now, zone.now])
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_WAIT)
+    zone.pass_time(2 * REPLY_TIMEOUT)
     assert not any(zone.believes_lost(address) for address in zone.hosts)
-    zone.pass_time(DENIALS_LAST)
+    zone.pass_time(REFUTATION_WINDOW)
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_WAIT)
+    zone.pass_time(2 * REPLY_TIMEOUT)
     assert zone.believes_lost(READER)
 
 
@@ -298,19 +298,19 @@
     """
     zone = ZoneOfHosts()
     table = zone.reader.tables.inquiry
-    table.denied_at.extend([zone.now, zone.now])
-    table.unheard_at.update(dict.fromkeys(range(100, 110), zone.now))
+    table.refuted_at.extend([zone.now, zone.now])
+    table.unrefuted_at.update(dict.fromkeys(range(100, 110), zone.now))
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_WAIT)
+    zone.pass_time(2 * REPLY_TIMEOUT)
     assert zone.believes_lost(READER)
 
 
 def test_old_reports_are_forgotten():
     zone = ZoneOfHosts()
     zone.lose_requests(REPORTING[:3])
-    zone.pass_time(REPORT_LASTS + 0.1)
+    zone.pass_time(REPORT_LIFETIME + 0.1)
     zone.lose_requests(REPORTING[3:])
-    zone.pass_time(2 * REPLY_WAIT)
+    zone.pass_time(2 * REPLY_TIMEOUT)
     assert zone.reader.tables.inquiry.number == 0
 
 
@@ -320,7 +320,7 @@
 def test_only_the_reader_is_believed(message):
     zone = ZoneOfHosts()
     driver = zone.hosts[FOLLOWERS[0]]
-    assert driver.core.take_host_message(message, FOLLOWERS[1], zone.now) == []
+    assert driver.core.handle_host_message(message, FOLLOWERS[1], zone.now) == []
     assert not zone.believes_lost(FOLLOWERS[0])
 
 
--- a/tests/test_tokens/test_own_path.py
+++ b/tests/test_tokens/test_local_path.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from citronspring.tokens.local_path import MAX_LOSS_RATIO
 from citronspring.tokens.messages import Forward, ResetReason
-from citronspring.tokens.own_path import MOST_LOSSES
 from tests.test_tokens.driver import Driver, make_target, reason_of
 
 
@@ -72,9 +72,9 @@
         for caller in callers:
             caller.ask()
         driver.prove_path()
-        driver.core.begin_turn(driver.now)
+        driver.core.begin_iteration(driver.now)
         driver.now += 1.0
-        assert driver.core.begin_turn(driver.now)
+        assert driver.core.begin_iteration(driver.now)
         for _ in range(2):
             for caller in callers:
                 assert isinstance(caller.ask_again(), Forward)
@@ -143,7 +143,7 @@
         assert isinstance(self.losses_beside(answered=2), Forward)
 
     def test_one_loss_among_many_answers_is_usual(self):
-        answered = int(1 / MOST_LOSSES) + 2
+        answered = int(1 / MAX_LOSS_RATIO) + 2
         reason = reason_of(self.losses_beside(answered))
         assert reason is ResetReason.TARGET_UNREACHABLE
 
@@ -206,4 +206,4 @@
     moved = driver.caller(2)
     moved.token = row.token
     assert isinstance(moved.ask(), Forward)
-    assert (row.silences, row.avoid_until) == (1, avoided_until)
+    assert (row.timeouts, row.avoid_until) == (1, avoided_until)
--- a/tests/test_tokens/test_openings.py
+++ b/tests/test_tokens/test_openings.py
@@ -44,7 +44,7 @@
     caller = driver.caller(1)
     placed = {target_of(caller.open()) for _ in range(3)}
     assert len(placed) == 1
-    assert all(row.silences == 0 for row in driver.tables.targets.values())
+    assert all(row.timeouts == 0 for row in driver.tables.targets.values())
 
 
 def test_flow_stays_on_the_target_that_its_token_names():
@@ -57,7 +57,7 @@
     caller = driver.caller(1)
     first = caller.open().target
     (second,) = driver.wait(0.035)
-    caller.take_answer(first)
+    caller.handle_store_answer(first)
     caller.token = second.target.token
     assert caller.ask().target is first
     assert second.target.flows == 0
@@ -199,9 +199,9 @@
     too, a second target would answer and the caller's packets would stray to it.
     """
     driver = Driver(make_target(1), make_target(2))
-    driver.core.begin_turn(driver.now)
+    driver.core.begin_iteration(driver.now)
     driver.now += 3.0
-    driver.core.begin_turn(driver.now)
+    driver.core.begin_iteration(driver.now)
     assert reason_of(driver.caller(1).open()) is DropReason.WAITED
     driver.core.tick(driver.now)
     assert isinstance(driver.caller(2).open(), Forward)
@@ -210,19 +210,19 @@
 def test_pause_within_a_turn_is_noticed():
     """The process stands still after its turn has begun, between two packets."""
     driver = Driver(make_target(1))
-    driver.core.begin_turn(driver.now)
+    driver.core.begin_iteration(driver.now)
     assert isinstance(driver.caller(1).open(), Forward)
     driver.now += 2.0
-    assert driver.core.begin_turn(driver.now)
+    assert driver.core.begin_iteration(driver.now)
     assert reason_of(driver.caller(2).open()) is DropReason.WAITED
 
 
 def test_sleep_is_no_pause():
     """The process slept because nothing came; the first opening is placed."""
     driver = Driver(make_target(1))
-    driver.core.begin_turn(driver.now)
+    driver.core.begin_iteration(driver.now)
     driver.now += 0.5
-    driver.core.begin_turn(driver.now, slept=0.5)
+    driver.core.begin_iteration(driver.now, slept=0.5)
     assert isinstance(driver.caller(1).open(), Forward)
 
 
@@ -233,14 +233,14 @@
     row = caller.open().target
     driver.now += 3.0
     assert driver.keep(driver.core.tick(driver.now)) == []
-    assert row.silences == 0
+    assert row.timeouts == 0
 
 
 def test_packets_of_open_flows_are_forwarded_after_a_pause():
     driver = Driver(make_target(1))
     caller = driver.caller(1)
     caller.connect()
-    driver.core.begin_turn(driver.now)
+    driver.core.begin_iteration(driver.now)
     driver.now += 3.0
-    driver.core.begin_turn(driver.now)
+    driver.core.begin_iteration(driver.now)
     assert target_of(caller.ask()) == "i-1"
--- a/tests/test_tokens/test_peers.py
+++ b/tests/test_tokens/test_peer_snapshot.py
@@ -7,16 +7,16 @@
 import pytest
 
 from citronspring.tokens.balancer import TokenBalancer
-from citronspring.tokens.copies import decode_copy, encode_copy
 from citronspring.tokens.messages import (
     ListEntries,
-    PeerCopy,
+    PeerSnapshot,
     ReadPeer,
     Refused,
     Unanswered,
     WatchEntries,
 )
-from citronspring.tokens.reader import is_current
+from citronspring.tokens.peer_snapshot import decode_snapshot, encode_snapshot
+from citronspring.tokens.store_reader import is_current
 from citronspring.tokens.times import ReaderTimes
 from tests.test_tokens.driver import (
     BOUND,
@@ -36,9 +36,9 @@
     return driver
 
 
-def copy_of(driver):
-    status, body = driver.core.copy(driver.now)
-    return decode_copy(status, body)
+def snapshot_of(driver):
+    status, body = driver.core.snapshot(driver.now)
+    return decode_snapshot(status, body)
 
 
 def next_call(driver):
@@ -74,7 +74,7 @@
     driver = started(Driver(make_target(1)))
     next_call(driver)
     driver.lose_store()
-    driver.answer(copy_of(peer))
+    driver.answer(snapshot_of(peer))
     assert driver.core.ready
     placed = {target_of(driver.caller(port).open()) for port in range(4)}
     assert placed == {"i-1"}
@@ -92,7 +92,7 @@
     peer = Driver(make_target(1))
     peer.now += 20.0
     driver = started(Driver(make_target(1), now=peer.now))
-    driver.answer(copy_of(peer))
+    driver.answer(snapshot_of(peer))
     assert not is_current(driver.tables, driver.core.times, driver.now)
     assert reason_of(driver.caller(1, 5).open()).value == "not-current"
 
@@ -109,28 +109,28 @@
 def test_older_copy_takes_nothing_back():
     peer = Driver(make_target(1), configuration=make_configuration(3))
     driver = Driver(make_target(1), configuration=make_configuration(5))
-    driver.answer(copy_of(peer))
+    driver.answer(snapshot_of(peer))
     assert driver.tables.configuration == 5
 
 
 def test_host_that_knows_nothing_gives_nothing():
     driver = started(Driver(make_target(1)))
-    assert copy_of(driver) == Refused(503)
+    assert snapshot_of(driver) == Refused(503)
 
 
 @pytest.mark.parametrize("name", ["configuration", "targets", "revision", "age"])
 def test_copy_of_another_shape_is_no_answer(name):
     """A peer of another release gives a copy that this one cannot read."""
-    _, body = encode_copy(Driver(make_target(1)).tables, 100.0)
+    _, body = encode_snapshot(Driver(make_target(1)).tables, 100.0)
     broken = {**json.loads(body), name: "x"}
-    answer = decode_copy(200, json.dumps(broken).encode())
+    answer = decode_snapshot(200, json.dumps(broken).encode())
     assert isinstance(answer, Unanswered)
 
 
 def test_copy_comes_through_whole():
     peer = Driver(make_target(1, "south", warmup=2.0), make_target(2))
-    copy = copy_of(peer)
-    assert isinstance(copy, PeerCopy)
+    copy = snapshot_of(peer)
+    assert isinstance(copy, PeerSnapshot)
     first = copy.entries[0]
     assert (first.target_id, first.zone, first.endpoint.port) == ("i-1", "south", 8080)
     assert first.warmup == 2.0
--- a/tests/test_tokens/test_placement.py
+++ b/tests/test_tokens/test_placement.py
@@ -26,7 +26,7 @@
     times = ReaderTimes.from_bounds(BOUND, SETTLING)
     core = TokenBalancer.from_config(f"host-{number}", "north", times)
     page = Page((make_configuration(), *targets), 1, None)
-    core.take_answer(ListEntries(), page, 100.0, 100.0)
+    core.handle_store_answer(ListEntries(), page, 100.0, 100.0)
     return core
 
 
--- a/tests/test_tokens/test_restarts.py
+++ b/tests/test_tokens/test_restarts.py
@@ -5,8 +5,8 @@
 from citronspring.tokens.codec import (
     decode_change,
     decode_target,
-    plain_change,
-    plain_target,
+    encode_change,
+    encode_target,
 )
 from citronspring.tokens.entries import Unreadable
 from citronspring.tokens.messages import Forward
@@ -47,7 +47,7 @@
         assert driver.tables.targets["i-1"].avoid_until > driver.now
         restart(driver)
         row = driver.tables.targets["i-1"]
-        assert (row.flows, row.busy, row.silences, row.avoid_until) == (0, 0, 0, 0.0)
+        assert (row.flows, row.busy, row.timeouts, row.avoid_until) == (0, 0, 0, 0.0)
         assert driver.tables.flows == {}
         assert driver.tables.by_service["previews"] == [row]
 
@@ -100,11 +100,11 @@
 
     def test_start_is_handed_on_to_followers_and_peers(self):
         target = make_target(1, started=FIRST_START)
-        assert decode_change(plain_change(target)).started == FIRST_START
-        assert decode_target(plain_target(target, 0.0)).started == FIRST_START
+        assert decode_change(encode_change(target)).started == FIRST_START
+        assert decode_target(encode_target(target, 0.0)).started == FIRST_START
 
     def test_copy_of_an_older_release_names_no_start(self):
-        plain = plain_target(make_target(1), 0.0)
+        plain = encode_target(make_target(1), 0.0)
         del plain["started"]
         assert decode_target(plain).started is None
 
@@ -148,6 +148,6 @@
 
     def test_followers_hear_of_it(self):
         entry = Unreadable("i-1", "no JSON", 7, SECOND_START)
-        found = decode_change(plain_change(entry))
+        found = decode_change(encode_change(entry))
         assert (found.name, found.reason) == ("i-1", "no JSON")
         assert (found.revision, found.started) == (7, SECOND_START)
--- a/tests/test_tokens/test_reader.py
+++ b/tests/test_tokens/test_store_reader.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from citronspring.tokens.entries import Removed, ordered_revision
+from citronspring.tokens.entries import TargetRemoved, ordered_revision
 from citronspring.tokens.messages import (
     AnswerTooLarge,
     Changes,
@@ -17,7 +17,11 @@
     Refused,
     WatchEntries,
 )
-from citronspring.tokens.reader import LONGEST_RETRY, LONGEST_SLACK, is_current
+from citronspring.tokens.store_reader import (
+    MAX_ANSWER_TIMEOUT,
+    MAX_RETRY_PAUSE,
+    is_current,
+)
 from citronspring.tokens.times import ReaderTimes
 from tests.test_tokens.driver import (
     BOUND,
@@ -136,7 +140,7 @@
 
 def test_removal_that_is_older_than_the_entry_changes_nothing():
     driver = Driver(make_target(1, revision=9))
-    driver.answer(Changes((Removed("i-1", 8),), 8))
+    driver.answer(Changes((TargetRemoved("i-1", 8),), 8))
     assert target_of(driver.caller(1).open()) == "i-1"
 
 
@@ -151,9 +155,11 @@
     for _ in range(failures):
         driver.now = max(driver.now, driver.tables.reader.call_at)
         driver.answer(Refused(503))
-    assert driver.tables.reader.call_at - driver.now <= LONGEST_RETRY
+    assert driver.tables.reader.call_at - driver.now <= MAX_RETRY_PAUSE
     call = ListEntries()
-    assert driver.core.answer_deadline(call, driver.now) - driver.now <= LONGEST_SLACK
+    assert (
+        driver.core.answer_deadline(call, driver.now) - driver.now <= MAX_ANSWER_TIMEOUT
+    )
 
 
 @pytest.mark.parametrize(
