--- a/tests/test_tokens/test_cold.py
+++ b/tests/test_tokens/test_warmup.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from citronspring.tokens.copies import decode_copy
 from citronspring.tokens.evidence import (
-    DEAD_SILENCES,
-    LONGEST_AVOIDANCE,
-    ZONE_OUT_OF_REACH,
-    note_silence,
+    MAX_AVOIDANCE,
+    UNREACHABLE_TIMEOUTS,
+    ZONE_UNREACHABLE_SECONDS,
+    note_timeout,
 )
 from citronspring.tokens.messages import Forward
+from citronspring.tokens.peer_snapshot import decode_snapshot
 from tests.test_tokens.driver import ORDERS, Driver, make_target, target_of
-from tests.test_tokens.test_peers import copy_of, started
+from tests.test_tokens.test_peer_snapshot import snapshot_of, started
 from tests.test_tokens.zone import ask, follower, leader, next_call
 
 
@@ -35,13 +35,13 @@
 def test_cold_target_gets_nothing_while_the_warm_ones_are_full():
     """In a rush the warm targets leave openings unanswered, and seem silent."""
     driver = Driver(make_target(1), make_target(2), make_target(3, warmup=2.0))
-    for port in range(DEAD_SILENCES // 2):
+    for port in range(UNREACHABLE_TIMEOUTS // 2):
         driver.caller(port, ORDERS).open()
         tried = [one for one in driver.wait(0.1) if isinstance(one, Forward)]
         assert "i-3" not in {target_of(one) for one in tried}
         for other in range(2):
-            driver.tables.targets[f"i-{other + 1}"].silences = min(
-                driver.tables.targets[f"i-{other + 1}"].silences, 3
+            driver.tables.targets[f"i-{other + 1}"].timeouts = min(
+                driver.tables.targets[f"i-{other + 1}"].timeouts, 3
             )
 
 
@@ -59,13 +59,13 @@
     """The only warm target has ended without a word; its entry is still there."""
     driver = Driver(make_target(1), make_target(2, warmup=9.0))
     tried = []
-    for port in range(DEAD_SILENCES):
+    for port in range(UNREACHABLE_TIMEOUTS):
         caller = driver.caller(port, ORDERS)
         actions = [caller.open(), *driver.wait(0.1)]
         tried += [target_of(one) for one in actions if isinstance(one, Forward)]
         if "i-2" in tried:
             break
-    assert tried == [*["i-1"] * DEAD_SILENCES, "i-2"]
+    assert tried == [*["i-1"] * UNREACHABLE_TIMEOUTS, "i-2"]
 
 
 def test_cold_targets_of_a_cut_zone_are_used():
@@ -73,7 +73,7 @@
     driver = Driver(
         make_target(1, warmup=20.0), make_target(2, "south"), make_target(3, "south")
     )
-    driver.wait(ZONE_OUT_OF_REACH)
+    driver.wait(ZONE_UNREACHABLE_SECONDS)
     for port in range(2):
         driver.caller(port, ORDERS).open()
         driver.wait(0.04)
@@ -85,7 +85,7 @@
     peer = Driver(make_target(1, warmup=2.0), make_target(2))
     peer.now += 1.5
     driver = started(Driver(make_target(2), now=peer.now))
-    driver.answer(copy_of(peer))
+    driver.answer(snapshot_of(peer))
     assert set(place(driver, range(6))) == {"i-2"}
     driver.wait(0.6)
     assert "i-1" in place(driver, range(6, 12))
@@ -116,8 +116,8 @@
 def test_copy_of_a_warm_target_says_so():
     peer = Driver(make_target(1, warmup=2.0))
     peer.now += 3.0
-    status, body = peer.core.copy(peer.now)
-    copy = decode_copy(status, body)
+    status, body = peer.core.snapshot(peer.now)
+    copy = decode_snapshot(status, body)
     assert copy.entries[0].warmup == 0.0
 
 
@@ -128,7 +128,7 @@
     """
     driver = Driver(make_target(1), make_target(2))
     row = driver.tables.targets["i-1"]
-    for _ in range(DEAD_SILENCES):
-        note_silence(driver.tables, row, driver.now, driver.now)
-    driver.wait(LONGEST_AVOIDANCE + 0.1)
+    for _ in range(UNREACHABLE_TIMEOUTS):
+        note_timeout(driver.tables, row, driver.now, driver.now)
+    driver.wait(MAX_AVOIDANCE + 0.1)
     assert "i-1" in place(driver, range(6))
--- a/tests/test_tokens/test_zones.py
+++ b/tests/test_tokens/test_zones.py
@@ -14,7 +14,7 @@
     actions = [first]
     for _ in range(3):
         if actions and actions[-1].target.target.zone == "north":
-            caller.take_answer(actions[-1].target)
+            caller.handle_store_answer(actions[-1].target)
             break
         actions += driver.wait(0.031)
     return target_of(first)
@@ -120,7 +120,7 @@
         caller = driver.caller(1)
         dead = target_of(caller.open())
         (second,) = driver.wait(0.031)
-        caller.take_answer(second.target)
+        caller.handle_store_answer(second.target)
         others = {target_of(driver.caller(port).open()) for port in range(2, 6)}
         assert dead not in others
         assert driver.tables.zones["south"].suspect_until <= driver.now
--- a/tests/test_tokens/zone.py
+++ b/tests/test_tokens/zone.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from citronspring.endpoints import Endpoint
+from citronspring.tokens.change_feed import FeedPoll, decode_feed
 from citronspring.tokens.entries import ZoneReader
-from citronspring.tokens.news import Poll, decode_news
 from citronspring.tokens.times import ReaderTimes
 from tests.test_tokens.driver import BOUND, SETTLING, Driver, make_target
 
@@ -41,10 +41,10 @@
 
 def ask(driver, after):
     """Return what the reader answers a follower that waits for nothing."""
-    poll = Poll(after, driver.now, driver.now)
+    poll = FeedPoll(after, driver.now, driver.now)
     return decode_answer(driver.core.answer_poll(poll, driver.now))
 
 
 def decode_answer(answer):
     status, body = answer
-    return decode_news(status, body)
+    return decode_feed(status, body)
