--- a/tests/test_emulator/test_zones.py
+++ b/tests/test_emulator/test_zones.py
@@ -43,7 +43,7 @@
     together = [play(seed, FLEET, calm=True, load=die_silently(0.2)) for seed in SEEDS]
     assert all(outcome.broken == [] for outcome in together)
     assert all(outcome.resets.false == 0 for outcome in together)
-    monkeypatch.setattr(inquiry, "WITNESSES", 1_000_000)
+    monkeypatch.setattr(inquiry, "MIN_WITNESSES", 1_000_000)
     alone = [play(seed, FLEET, calm=True, load=die_silently(0.2)) for seed in SEEDS]
     assert unserved(together) <= LEFT * unserved(alone)
 
@@ -69,9 +69,9 @@
 
 
 def believe_one_report(patch):
-    patch.setattr(inquiry, "WITNESSES", 1)
-    patch.setattr(inquiry, "WITNESSING_HOSTS", 1)
-    patch.setattr(inquiry, "MOST_DENIALS", 1_000_000)
+    patch.setattr(inquiry, "MIN_WITNESSES", 1)
+    patch.setattr(inquiry, "MIN_WITNESS_HOSTS", 1)
+    patch.setattr(inquiry, "MAX_REFUTATIONS", 1_000_000)
 
 
 def believe_without_asking(patch):
