--- a/citronspring/control/__init__.py
+++ b/citronspring/control/__init__.py
@@ -1,1 +1,1 @@
-"""What hosts tell each other: messages, codec and byte budget."""
+"""Control messages between hosts, their codec, and their byte budget."""
--- a/citronspring/control/budget.py
+++ b/citronspring/control/budget.py
@@ -1,7 +1,8 @@
-"""The byte budget of control datagrams: what goes now, waits or is dropped.
+"""Rate limit for control datagrams, with priorities.
 
-All classes share one limit; each may borrow from the future up to its own bound.
-What is more urgent may borrow more, so it still goes when the rest must wait.
+All priorities share one byte rate, but each has its own burst allowance. A higher
+priority has a larger allowance, so that its datagrams are still sent when those of
+lower priorities have to wait.
 """
 
 from __future__ import annotations
@@ -26,40 +27,43 @@
 
 Item = TypeVar("Item")
 
-#: Bytes a second of a host, headers included, bulk copies apart. With what may be
-#: borrowed it stays below 4,096 over any twelve seconds.
+#: Bytes per second that a host sends, including headers but not counting transfers of
+#: snapshots and member lists. With the largest burst allowance the average stays below
+#: 4,096 over any twelve seconds.
 BYTES_PER_SECOND = 3500
 
-#: Bytes a second that a host gives for bulk copies to others that start.
+#: Bytes per second that a host sends for snapshots and member lists to other hosts.
 BULK_BYTES_PER_SECOND = 65_536
 
-#: Bytes of the IP and UDP headers of a datagram.
+#: Size of the IP and UDP headers of a datagram in bytes.
 IP_UDP_HEADERS = 28
 
-#: Datagrams that may wait.
+#: Maximum number of queued datagrams.
 MAX_QUEUED = 128
 
-#: Seconds after which a datagram that waits is stale and dropped.
+#: Seconds after which a queued datagram is stale and is dropped.
 MAX_QUEUE_SECONDS = 2.0
 
 
 class Priority(IntEnum):
-    """Classes of messages, the most urgent first."""
+    """Priorities of messages, the highest first."""
 
-    #: Pings, with leaving, suspicion and the revision on them: small, and a host
-    #: that can't answer them is held dead.
+    #: Pings and their answers, which also carry the revision and updates such as leaving
+    #: and suspected hosts. They are small, and a host that cannot answer is declared
+    #: dead.
     HEARTBEAT = 0
-    #: Change records, and questions for what is missing.
+    #: Change records, and requests for missing data.
     CONFIGURATION = 1
-    #: News of hosts beside that on pings. When many hosts come and go at once
-    #: it must not keep pings back, or it would make ever more news.
+    #: Host updates other than those on pings. When many hosts join and leave at once
+    #: these must not delay pings, or late answers would cause ever more updates.
     MEMBERSHIP = 2
     LOAD = 3
-    #: Copies of the configuration and of the list of members; metered apart.
+    #: Parts of snapshots and of the list of members; limited separately.
     BULK = 4
 
 
-#: Seconds of the budget that each class may be ahead.
+#: Burst allowance of each priority: how far, in seconds at the full rate, the bytes
+#: already sent may run ahead of the rate limit.
 BURST_SECONDS = {
     Priority.HEARTBEAT: 2.0,
     Priority.CONFIGURATION: 1.5,
@@ -70,7 +74,7 @@
 
 
 def priority_of(message: ControlMessage) -> Priority:
-    """Return the class of a message."""
+    """Return the priority of a message."""
     match message:
         case Ping() | Ack() | PingRequest():
             return Priority.HEARTBEAT
@@ -86,64 +90,64 @@
 
 @dataclass(slots=True)
 class QueuedDatagram(Generic[Item]):
-    """A datagram that waits for the budget."""
+    """A datagram that waits for the rate limit."""
 
     item: Item
     size: int
-    #: Stale from this time on.
+    #: Time from which it is stale.
     deadline: float
 
 
 @dataclass(slots=True)
 class ControlBudget(Generic[Item]):
-    """Decides when datagrams go out."""
+    """Queues control datagrams and decides when they are sent."""
 
-    #: Times at which what went out so far is paid off.
+    #: Times until which the rate limits are used up by the datagrams sent so far.
     budget_used_until: float = 0.0
     bulk_budget_used_until: float = 0.0
     queues: dict[Priority, deque[QueuedDatagram[Item]]] = field(
         default_factory=lambda: {priority: deque() for priority in Priority}
     )
-    #: Datagrams that were given up.
+    #: Number of dropped datagrams.
     dropped: int = 0
 
     def count(self) -> int:
-        """Return how many datagrams wait."""
+        """Return the number of queued datagrams."""
         return sum(map(len, self.queues.values()))
 
     def enqueue(self, item: Item, priority: Priority, size: int, now: float) -> None:
-        """Queue a datagram; above the bound the least urgent one is dropped."""
+        """Queue a datagram; if the queue is full, drop one of the lowest priority."""
         self.queues[priority].append(
             QueuedDatagram(item, size, now + MAX_QUEUE_SECONDS)
         )
         if self.count() > MAX_QUEUED:
-            last = max(priority for priority, queue in self.queues.items() if queue)
-            self.queues[last].pop()
+            lowest = max(priority for priority, queue in self.queues.items() if queue)
+            self.queues[lowest].pop()
             self.dropped += 1
 
     def dequeue(self, now: float) -> list[Item]:
-        """Return what may go now, the most urgent first."""
-        released: list[Item] = []
+        """Return the datagrams that may be sent now, the highest priority first."""
+        ready: list[Item] = []
         for priority, queue in self.queues.items():
             while queue and queue[0].deadline <= now:
                 queue.popleft()
                 self.dropped += 1
             while queue and self.try_charge(priority, queue[0].size, now):
-                released.append(queue.popleft().item)
-        return released
+                ready.append(queue.popleft().item)
+        return ready
 
     def try_charge(self, priority: Priority, size: int, now: float) -> bool:
-        """Charge a datagram if its class may go; return whether it may."""
-        ahead = BURST_SECONDS[priority]
+        """Charge a datagram to the rate limit; return False if it has to wait."""
+        burst = BURST_SECONDS[priority]
         if priority is Priority.BULK:
             start = max(self.bulk_budget_used_until, now)
-            if start - now > ahead:
+            if start - now > burst:
                 return False
             seconds = (size + IP_UDP_HEADERS) / BULK_BYTES_PER_SECOND
             self.bulk_budget_used_until = start + seconds
             return True
         start = max(self.budget_used_until, now)
-        if start - now > ahead:
+        if start - now > burst:
             return False
         self.budget_used_until = start + (size + IP_UDP_HEADERS) / BYTES_PER_SECOND
         return True
--- a/citronspring/control/codec.py
+++ b/citronspring/control/codec.py
@@ -1,4 +1,4 @@
-"""Control messages to bytes and back, in thrift's compact protocol."""
+"""Encode and decode control messages in Thrift's compact protocol."""
 
 from __future__ import annotations
 
@@ -41,19 +41,19 @@
     write_record,
 )
 
-#: Most items in a list and bytes in a string, against lengths made up to exhaust
-#: memory.
+#: Maximum number of items in a list, and of bytes in a string. They keep a forged
+#: length from exhausting the memory.
 MAX_ITEMS = 512
 MAX_STRING = 4096
 
-#: Most parts of a whole configuration.
+#: Maximum number of parts of a snapshot.
 MAX_PARTS = 1 << 20
 
 FACTORY = TCompactProtocolAcceleratedFactory(
     string_length_limit=MAX_STRING, container_length_limit=MAX_ITEMS
 )
 
-#: What the thrift library raises on bytes that are no struct of the IDL.
+#: Exceptions that the Thrift library raises on bytes that are not a valid struct.
 DECODING_ERRORS = (
     EOFError,
     MemoryError,
@@ -67,19 +67,19 @@
 
 
 def encode(struct: ttypes.Envelope) -> bytes:
-    """Return the bytes of a struct."""
+    """Return the encoded bytes of a struct."""
     buffer = TMemoryBuffer()
     struct.write(FACTORY.getProtocol(buffer))
     return bytes(buffer.getvalue())
 
 
 def decode(data: bytes) -> ttypes.Envelope:
-    """Read an envelope.
+    """Decode an envelope.
 
     Raises
     ------
     ControlMessageError
-        When the bytes are none, or more follow.
+        If the bytes are not an envelope, or if more bytes follow it.
     """
     buffer = TMemoryBuffer(data)
     envelope = ttypes.Envelope()
@@ -93,7 +93,7 @@
 
 
 def write_update(update: HostUpdate) -> ttypes.HostUpdate:
-    """Return the struct of news of a host."""
+    """Return the struct of a host update."""
     host = None if update.host is None else write_host(update.host)
     return ttypes.HostUpdate(
         update.host_id, STATES[update.state], update.incarnation, host
@@ -101,7 +101,7 @@
 
 
 def read_update(struct: ttypes.HostUpdate) -> HostUpdate:
-    """Return news of a host."""
+    """Return a host update."""
     host_id = check_name(struct.host_id, "host")
     if struct.state not in STATES_BY_NUMBER:
         raise malformed_error("host state")
@@ -114,7 +114,7 @@
 
 
 def write_updates(updates: tuple[HostUpdate, ...]) -> list[ttypes.HostUpdate]:
-    """Return the structs of news."""
+    """Return the structs of host updates."""
     return [write_update(update) for update in updates]
 
 
@@ -122,15 +122,17 @@
     """Return the union that holds a message."""
     match message:
         case Ping(sequence, revision, updates, members):
-            news = write_updates(updates)
-            ping = ttypes.Ping(sequence, revision, news, write_updates(members) or None)
+            written = write_updates(updates)
+            ping = ttypes.Ping(
+                sequence, revision, written, write_updates(members) or None
+            )
             return ttypes.Message(ping=ping)
         case Ack(sequence, revision, updates):
             ack = ttypes.Ack(sequence, revision, write_updates(updates))
             return ttypes.Message(ack=ack)
         case PingRequest(sequence, host_id, revision, updates):
-            news = write_updates(updates)
-            request = ttypes.PingRequest(sequence, host_id, revision, news)
+            written = write_updates(updates)
+            request = ttypes.PingRequest(sequence, host_id, revision, written)
             return ttypes.Message(ping_request=request)
         case Gossip(revision, updates):
             gossip = ttypes.Gossip(revision, write_updates(updates))
@@ -169,7 +171,7 @@
 def write_loads(
     targets: tuple[TargetLoad, ...], accounts: tuple[AccountUse, ...]
 ) -> ttypes.Loads:
-    """Return the struct of loads and uses."""
+    """Return the struct of target loads and account usage."""
     return ttypes.Loads(
         [
             ttypes.TargetLoad(item.target_id, item.flows, item.load, item.healthy)
@@ -180,17 +182,17 @@
 
 
 def read_message(union: ttypes.Message | None) -> ControlMessage:
-    """Return the one message that a union holds."""
+    """Return the message that a union holds; exactly one field must be set."""
     if union is None:
         raise malformed_error("type")
-    held = [
+    values = [
         value
         for field in ttypes.Message.__slots__
         if (value := getattr(union, field)) is not None
     ]
-    if len(held) != 1:
+    if len(values) != 1:
         raise malformed_error("type")
-    return read_struct(held[0])
+    return read_struct(values[0])
 
 
 def read_struct(struct: Any) -> ControlMessage:
@@ -213,14 +215,14 @@
             part = check_integer(struct.part, "part", MAX_PARTS)
             return MembersRequest(part, read_items(struct.updates, read_update))
         case ttypes.Members():
-            part, parts = read_part(struct, least=0)
+            part, parts = read_part(struct, minimum=0)
             return Members(part, parts, read_items(struct.updates, read_update))
         case _:
             return read_configuration_struct(struct)
 
 
 def read_heartbeat(struct: Any) -> tuple[int, int, tuple[HostUpdate, ...]]:
-    """Return what pings and their answers have in common."""
+    """Return sequence number, revision and updates of a ping or its answer."""
     return (
         check_integer(struct.sequence, "sequence number"),
         check_integer(struct.revision, "revision"),
@@ -228,12 +230,12 @@
     )
 
 
-def read_part(struct: Any, least: int = 1) -> tuple[int, int]:
-    """Return which part of how many a message is."""
+def read_part(struct: Any, minimum: int = 1) -> tuple[int, int]:
+    """Return the part number of a message, and the number of parts."""
     parts = check_integer(struct.parts, "number of parts", MAX_PARTS)
-    if parts < least:
+    if parts < minimum:
         raise malformed_error("number of parts")
-    highest = max(parts - 1, 0) if least else MAX_PARTS
+    highest = max(parts - 1, 0) if minimum else MAX_PARTS
     return check_integer(struct.part, "part", highest), parts
 
 
@@ -262,7 +264,10 @@
 
 
 def read_records(struct: ttypes.Records) -> Records:
-    """Return change records; a piece is always of one record with an account."""
+    """Return change records.
+
+    A message that is one of several parts holds a single record with an account.
+    """
     part, parts = read_part(struct)
     records = read_items(struct.records, read_record)
     if parts > 1 and (len(records) != 1 or records[0].account is None):
@@ -282,6 +287,6 @@
 
 
 def read_account_use(struct: ttypes.AccountUse) -> AccountUse:
-    """Return the use of an account."""
+    """Return the usage of a client account."""
     flows = check_integer(struct.open_flows, "number of flows")
     return AccountUse(check_name(struct.account_id, "account"), flows)
--- a/citronspring/control/control.thrift
+++ b/citronspring/control/control.thrift
@@ -1,7 +1,8 @@
-// What hosts tell each other. After a change, generate the code again with
+// Control messages between hosts. After a change, generate the code again with
 //   thrift -out citronspring/control --gen py:slots citronspring/control/control.thrift
 // from the root of the repository, and commit it (compiler 0.17).
-// Fields are only ever added, with new numbers and as optional.
+// For compatibility between releases, existing fields stay as they are. New fields
+// are optional and have new numbers.
 
 namespace py generated
 
--- a/citronspring/control/envelope.py
+++ b/citronspring/control/envelope.py
@@ -1,7 +1,7 @@
-"""Envelopes: who sent a control datagram, and that it is genuine and new.
+"""Envelopes: authentication and replay protection of control datagrams.
 
-A datagram is one byte of version, a keyed digest, and an encoded envelope. The
-digest covers the receiver's id too, so that a datagram to one host is none to
+A datagram is one version byte, a keyed digest, and an encoded envelope. The digest
+also covers the receiver's id, so that a datagram for one host is not valid for
 another.
 """
 
@@ -22,36 +22,37 @@
 
 VERSION = b"\x01"
 
-#: Bytes of the digest.
+#: Size of the digest in bytes.
 DIGEST_SIZE = 16
 HEADER_SIZE = len(VERSION) + DIGEST_SIZE
 
-#: Bytes above which a datagram is neither sent nor read.
+#: Maximum size of a datagram in bytes, both when sending and when receiving.
 MAX_DATAGRAM = 8192
 
-#: Milliseconds that two hosts' clocks, and the way between them, may differ.
+#: Maximum clock skew between two hosts plus network delay, in milliseconds.
 MAX_CLOCK_SKEW_MS = 30_000
 
-#: Sequence numbers behind the highest that may still arrive, once each.
+#: Number of sequence numbers, counted back from the highest one received, that are
+#: still accepted, once each.
 REPLAY_WINDOW = 1024
 
-#: Shortest key, in bytes.
+#: Minimum size of a key in bytes.
 MIN_KEY_BYTES = 16
 
 
 @dataclass(slots=True)
 class ReplayWindow:
-    """Which datagrams of one run of a sender have arrived."""
+    """Sequence numbers received from a sender since its last start."""
 
     boot_time: int
     highest: int = 0
-    #: Bit n stands for the sequence number ``highest - n``.
+    #: Bit n is set if the sequence number ``highest - n`` has been received.
     seen: int = 0
-    #: From this time any datagram of it is refused for its age alone.
+    #: From this time on all of its datagrams are rejected by their timestamp alone.
     expires_at: int = 0
 
     def admit(self, sequence: int) -> bool:
-        """Note a sequence number; return False when it came before."""
+        """Record a sequence number; return False if it is a replay or too old."""
         ahead = sequence - self.highest
         if ahead > 0:
             kept = self.seen << ahead if ahead < REPLAY_WINDOW else 0
@@ -67,7 +68,7 @@
 
 @dataclass(slots=True)
 class ReceivedMessage:
-    """A genuine control message."""
+    """An authenticated control message."""
 
     sender: str
     message: ControlMessage
@@ -75,7 +76,7 @@
 
 @dataclass(slots=True)
 class DatagramEncoder:
-    """Makes this host's datagrams."""
+    """Encodes and signs the datagrams of this host."""
 
     sender: str
     key: bytes
@@ -86,14 +87,14 @@
     def encode_datagram(
         self, message: ControlMessage, receiver: str, now: int
     ) -> bytes:
-        """Return the datagram of a message to a host.
+        """Return the datagram that carries a message to a host.
 
         Parameters
         ----------
         message : ControlMessage
-            What to say.
+            The message to send.
         receiver : str
-            The host it is for.
+            Id of the receiving host.
         now : int
             Milliseconds since the epoch.
         """
@@ -104,28 +105,28 @@
         )
         body = encode(envelope)
         if len(body) + HEADER_SIZE > MAX_DATAGRAM:
-            text = f"a control message of {len(body)} bytes is not sent"
+            text = f"control message of {len(body)} bytes is too large to send"
             raise ControlMessageError(text, "shorten names", reason="oversized")
         return VERSION + digest_of(self.key, receiver, body) + body
 
 
 @dataclass(slots=True)
 class DatagramDecoder:
-    """Checks and reads datagrams for this host."""
+    """Authenticates and decodes the datagrams that this host receives."""
 
     receiver: str
-    #: The key in use, and the one before while keys are being replaced.
+    #: The current key, and also the previous one during a key rotation.
     keys: tuple[bytes, ...]
     windows: dict[str, ReplayWindow] = field(default_factory=dict)
 
     def decode_datagram(self, datagram: bytes, now: int) -> ReceivedMessage:
-        """Return the message of a datagram.
+        """Return the message that a datagram carries.
 
         Raises
         ------
         ControlMessageError
-            When it is oversized, malformed, forged, old or replayed. Nothing
-            has changed then.
+            If it is oversized, malformed, forged, too old or replayed. The decoder's
+            state is unchanged then.
         """
         if len(datagram) > MAX_DATAGRAM:
             raise rejection_error("oversized", "shorten names")
@@ -141,14 +142,14 @@
         return ReceivedMessage(sender, message)
 
     def authenticate(self, digest: bytes, body: bytes) -> None:
-        """Check the digest against every accepted key."""
+        """Raise ControlMessageError unless an accepted key gives the digest."""
         for key in self.keys:
             if hmac.compare_digest(digest, digest_of(key, self.receiver, body)):
                 return
         raise rejection_error("forged", "give all hosts the same control key")
 
     def check_replay(self, sender: str, envelope: ttypes.Envelope, now: int) -> None:
-        """Refuse what came before, or from before the sender's last start."""
+        """Reject replayed datagrams, and those from before the sender's last start."""
         boot_time = check_integer(envelope.boot_time, "boot time")
         sequence = check_integer(envelope.sequence, "sequence number")
         window = self.windows.get(sender)
@@ -161,19 +162,19 @@
         window.expires_at = now + 2 * MAX_CLOCK_SKEW_MS
 
     def remove_expired_windows(self, now: int) -> None:
-        """Forget senders whose datagrams are all too old by now."""
+        """Remove the windows of senders all of whose datagrams are too old by now."""
         expired = [key for key, row in self.windows.items() if row.expires_at <= now]
         for sender in expired:
             del self.windows[sender]
 
 
 def rejection_error(reason: str, remedy: str) -> ControlMessageError:
-    """Return the error for a datagram that is not taken."""
+    """Return the error for a rejected datagram."""
     return ControlMessageError(f"{reason} control datagram", remedy, reason=reason)
 
 
 def digest_of(key: bytes, receiver: str, body: bytes) -> bytes:
-    """Return the keyed digest of what goes to a receiver."""
+    """Return the keyed digest of a body that is sent to a receiver."""
     state = hashlib.blake2b(key=key, digest_size=DIGEST_SIZE)
     state.update(len(receiver.encode()).to_bytes(2, "big"))
     state.update(receiver.encode())
--- a/citronspring/control/messages.py
+++ b/citronspring/control/messages.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other over control datagrams, as typed messages."""
+"""Typed messages that hosts exchange in control datagrams."""
 
 from __future__ import annotations
 
@@ -11,26 +11,27 @@
 
 @dataclass(frozen=True, slots=True)
 class HostUpdate:
-    """One host's state as somebody believes it; spreads on other messages."""
+    """State of a host as the sender knows it; sent as part of other messages."""
 
     host_id: str
     state: HostState
-    #: Only the host itself raises it, to refute a rumour; starts at its boot time
-    #: in milliseconds, so that a restarted host outranks what was said of it.
+    #: Only the host itself increases it, to refute a wrong state. It starts at the
+    #: boot time in milliseconds, so that updates of a restarted host override the
+    #: ones from before the restart.
     incarnation: int
-    #: Sockets and zone; None where the receiver is expected to know the host.
+    #: Sockets and zone; None if the receiver is expected to know the host.
     host: Host | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Are you there? Answered by an `Ack` with the same sequence number."""
+    """Liveness probe, answered by an `Ack` with the same sequence number."""
 
     sequence: int
     #: The sender's configuration revision, for anti-entropy.
     revision: int
     updates: tuple[HostUpdate, ...] = ()
-    #: Members as the sender knows them, which are no news to be passed on.
+    #: Members as the sender knows them; the receiver does not forward them.
     members: tuple[HostUpdate, ...] = ()
 
 
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Please ping a host for me and pass its `Ack` on."""
+    """Ask the receiver to ping a host and to forward its `Ack`."""
 
     sequence: int
     host_id: str
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gossip:
-    """News that should not wait for the next `Ping`; not answered."""
+    """Host updates that should not wait for the next `Ping`; not answered."""
 
     revision: int
     updates: tuple[HostUpdate, ...] = ()
@@ -63,16 +64,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersRequest:
-    """Please send one part of the list of members."""
+    """Request one part of the list of members."""
 
     part: int
-    #: The sender itself, unless the receiver is known to know it.
+    #: The sender itself, unless the receiver already knows it.
     updates: tuple[HostUpdate, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """Some members with their sockets."""
+    """One part of the list of members, with their sockets."""
 
     part: int
     parts: int
@@ -81,10 +82,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Records:
-    """Change records, pushed when they are new and sent to fill a gap.
+    """Change records, pushed when they are new or sent on request to fill a gap.
 
-    A record too large for one datagram goes in ``parts`` messages; each holds the
-    record with some of the account's addresses and targets.
+    A record too large for one datagram is split into ``parts`` messages. Each holds
+    the record with some of the account's addresses and targets.
     """
 
     records: tuple[ChangeRecord, ...]
@@ -94,24 +95,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsRequest:
-    """Please send the records after a revision."""
+    """Request the change records after a revision."""
 
     after_revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRequest:
-    """Please send parts of a whole configuration of at least a revision."""
+    """Request parts of a snapshot at a given revision or a later one."""
 
     revision: int
-    #: The first part, and how many with those that follow.
+    #: Number of the first part; ``count`` parts are requested from there on.
     part: int
     count: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotPart:
-    """Some client accounts of a whole configuration at one revision."""
+    """Some client accounts of a snapshot of the configuration."""
 
     revision: int
     part: int
@@ -121,12 +122,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetLoad:
-    """What a host knows of a target: its own flows there, and probed health."""
+    """Load of a target: the sender's own flows there, and probe results."""
 
     target_id: str
     #: Flows the sending host owns on the target.
     flows: int
-    #: Probed load, 0 to 255 for 0.0 to 2.0; None unless the sender probes it.
+    #: Probed load; 0 to 255 stand for 0.0 to 2.0. None unless the sender probes it.
     load: int | None = None
     #: Probed health; None unless the sender probes it.
     healthy: bool | None = None
@@ -134,17 +135,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountUse:
-    """How much of its limits an account uses at the sending host."""
+    """Usage of a client account's connection limit at the sending host."""
 
     account_id: str
-    #: Open flows the sender promises to stay within for some seconds; its whole
-    #: part of the limit, or what it holds beyond it, if it promises nothing.
+    #: Number of open flows that the sender commits not to exceed for some seconds.
+    #: Without such a commitment it is the sender's whole share of the limit, or its
+    #: number of flows if they exceed the share.
     open_flows: int
 
 
 @dataclass(frozen=True, slots=True)
 class Loads:
-    """Loads and uses that changed since they were last told."""
+    """Target loads and account usage that have changed since they were last sent."""
 
     targets: tuple[TargetLoad, ...] = ()
     accounts: tuple[AccountUse, ...] = ()
--- a/citronspring/control/tables.py
+++ b/citronspring/control/tables.py
@@ -1,4 +1,4 @@
-"""Rows of what a host knows and does about the other hosts."""
+"""State that a host keeps for membership and for replicating the configuration."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 
 
 class RandomSource(Protocol):
-    """Where random choices come from; `random.Random` is one."""
+    """A source of random numbers, such as `random.Random`."""
 
     def random(self) -> float:
-        """Return a number from 0.0 up to, but not, 1.0."""
+        """Return a number of at least 0.0 and below 1.0."""
 
 
 @dataclass(slots=True)
 class HashedRandomSource:
-    """Random numbers that depend on a host's identity alone."""
+    """Deterministic random numbers, seeded with a host's id and incarnation."""
 
     seed: int
     count: int = 0
 
     @classmethod
     def from_host(cls, host_id: str, incarnation: int) -> HashedRandomSource:
-        """Make the source of one run of a host."""
+        """Return the source for one incarnation of a host."""
         return cls(seed_of(f"{host_id}:{incarnation}"))
 
     def random(self) -> float:
-        """Return a number from 0.0 up to, but not, 1.0."""
+        """Return a number of at least 0.0 and below 1.0."""
         self.count += 1
         digest = xxh64_intdigest(self.count.to_bytes(8, "big"), self.seed)
         return (digest >> 11) / float(1 << 53)
@@ -57,57 +57,57 @@
 
 @dataclass(slots=True)
 class ProbeRow:
-    """A host that was pinged and has not answered."""
+    """A host that was pinged and has not answered yet."""
 
     host_id: str
-    #: Pinged again at this time.
+    #: Time of the next ping.
     next_at: float
-    #: Suspected at this time.
+    #: Time at which the host becomes suspected.
     deadline: float
-    #: Pings sent so far.
+    #: Number of pings sent so far.
     attempts: int = 1
 
 
 @dataclass(slots=True)
 class IndirectPingRow:
-    """A ping made for another host."""
+    """A ping that was sent on behalf of another host."""
 
     requester: str
-    #: Sequence number of the requester's own ping.
+    #: Sequence number in the requester's `PingRequest`.
     sequence: int
     deadline: float
 
 
 @dataclass(slots=True)
 class UpdateRow:
-    """News of a host, still to be passed on."""
+    """A host update that is still being disseminated."""
 
     update: HostUpdate
-    #: Messages it went out with.
+    #: Number of messages that have carried it.
     sent: int = 0
 
 
 @dataclass(slots=True)
 class JoinRow:
-    """The member list, being copied from a peer part by part."""
+    """The list of members, which is being copied from a peer part by part."""
 
-    #: Copies so far, this one included.
+    #: Number of copies, including this one.
     copies: int = 1
     part: int = 0
-    #: Whether this is the last copy, whatever it brings.
+    #: Whether this is the last copy, even if it brings new members.
     last: bool = False
-    #: Whether this copy brought members; another follows then.
+    #: Whether this copy has brought new members; another one follows then.
     found: bool = False
-    #: Another peer is asked at this time.
+    #: Time at which another peer is asked.
     retry_at: float = 0.0
 
 
 @dataclass(slots=True)
 class MembershipTable:
-    """Probing of other hosts and news of them."""
+    """State of the failure detector and of the dissemination of host updates."""
 
     rng: RandomSource
-    #: Last sequence number of a ping.
+    #: Sequence number of the last ping.
     sequence: int = 0
     #: Hosts still to be pinged in this round, in random order.
     order: list[str] = field(default_factory=list)
@@ -116,99 +116,100 @@
     #: Unanswered pings by sequence number.
     probes: dict[int, ProbeRow] = field(default_factory=dict)
     indirect_pings: dict[int, IndirectPingRow] = field(default_factory=dict)
-    #: News by host id, the newest of each host.
+    #: Newest update of each host, by host id.
     updates: dict[str, UpdateRow] = field(default_factory=dict)
     #: Hosts that answered a ping, and so know this host's sockets.
     acknowledged: set[str] = field(default_factory=set)
-    #: Hosts named by the settings; never forgotten.
+    #: Hosts listed in the settings; never removed.
     seeds: frozenset[str] = frozenset()
     join: JoinRow | None = None
     #: Time of the first tick.
     started_at: float | None = None
-    #: The last time any peer was heard; None before the first.
+    #: Time of the last message from any peer; None before the first.
     heard_at: float | None = None
 
     def next_sequence(self) -> int:
-        """Return a new sequence number."""
+        """Return the next sequence number."""
         self.sequence += 1
         return self.sequence
 
 
 @dataclass(slots=True)
 class PushRow:
-    """A new change record, still to be passed on."""
+    """A new change record that is still being pushed to peers."""
 
     record: ChangeRecord
-    #: Messages it went out with.
+    #: Number of messages that have carried it.
     sent: int = 0
 
 
 @dataclass(slots=True)
 class BulkRow:
-    """A whole configuration, being copied from a peer part by part."""
+    """A snapshot that is being copied from a peer part by part."""
 
     peer: str
-    #: Another peer is asked at this time, unless this one sent enough by then.
+    #: Time at which another peer is asked, unless this one has sent enough by then.
     retry_at: float
-    #: Parts that had arrived when the peer was last judged.
+    #: Number of parts received when the peer's progress was last checked.
     parts_at_last_check: int = 0
     revision: int = 0
-    #: Number of parts; unknown before the first.
+    #: Number of parts; None before the first part has arrived.
     parts: int | None = None
-    #: Accounts, or pieces of them, by part.
+    #: Client accounts, or pieces of them, by part.
     received: dict[int, tuple[Account, ...]] = field(default_factory=dict)
-    #: Times at which missing parts are asked for again.
+    #: Time at which a missing part is requested again, by part.
     part_retry_at: dict[int, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class OfferRow:
-    """A configuration at one revision, cut into parts for peers to copy."""
+    """A snapshot at one revision, split into parts for peers to copy."""
 
     revision: int
     parts: list[tuple[Account, ...]]
-    #: Forgotten at this time unless a peer asks for a part first.
+    #: Time at which the row is removed, unless a peer requests a part first.
     deadline: float
 
 
 @dataclass(slots=True)
 class SpreadTable:
-    """Change records on their way."""
+    """State of the replication of change records and snapshots."""
 
-    #: Applied records by revision, the newest ones without a gap.
+    #: Applied records by revision: the newest ones, without a gap.
     recent: dict[int, ChangeRecord] = field(default_factory=dict)
-    #: Records that wait for an earlier one.
+    #: Received records that wait for an earlier one, by revision.
     out_of_order: dict[int, ChangeRecord] = field(default_factory=dict)
     #: Pieces of large records, by revision and part.
     pieces: dict[int, dict[int, Records]] = field(default_factory=dict)
     pushes: dict[int, PushRow] = field(default_factory=dict)
-    #: Missing records are asked for again from this time on.
+    #: Time from which missing records are requested again.
     request_at: float = 0.0
     next_push_at: float = 0.0
     bulk: BulkRow | None = None
     offers: dict[int, OfferRow] = field(default_factory=dict)
-    #: Time at which bulk parts sent so far are paid off.
+    #: Time until which the rate limit is used up by the snapshot parts sent so far.
     bulk_budget_used_until: float = 0.0
     is_reader: bool = False
-    #: The platform is read at this time.
+    #: Time of the next read from the platform.
     read_at: float = 0.0
-    #: Readers are chosen again at this time.
+    #: Time at which the readers are chosen again.
     choose_readers_at: float = 0.0
 
 
 @dataclass(slots=True)
 class FenceRow:
-    """Whether this host may forward, after its clock has jumped."""
+    """Whether this host is fenced, that is, does not forward after a clock jump."""
 
     #: Time of the last tick; None before the first.
     last_tick_at: float | None = None
-    #: Forwards again at this time, whatever it has heard; None when not fenced.
+    #: Time at which it forwards again, even without an answer; None if not fenced.
     until: float | None = None
-    #: Peers are asked again at this time.
+    #: Time at which peers are asked again.
     next_query_at: float = 0.0
-    #: Pings sent since the jump: only answers to these are known to be fresh.
+    #: Sequence numbers of the pings sent since the jump. Only answers to these are
+    #: certain to be fresh.
     sequences: set[int] = field(default_factory=set)
-    #: Whether the platform was read since the jump.
+    #: Whether the platform has been read since the jump.
     platform_answered: bool = False
-    #: Revision that a peer told of; forwards once it is reached.
+    #: Revision that a peer has reported; the host forwards once it has reached it.
     required: int | None = None
--- a/citronspring/control/wire.py
+++ b/citronspring/control/wire.py
@@ -1,4 +1,4 @@
-"""Entities to generated thrift structs and back, checked on the way in."""
+"""Convert entities to generated Thrift structs and back, with validation."""
 
 from __future__ import annotations
 
@@ -25,10 +25,11 @@
 
 Item = TypeVar("Item")
 
-#: Longest name of anything, in characters.
+#: Maximum length of a name or id in characters.
 MAX_NAME = 1024
 
-#: Integers are kept where a double is exact, far from where adding one overflows.
+#: Maximum integer. A double represents every integer up to it exactly, and it is far
+#: enough below the limit of 64 bits that adding to it does not overflow.
 MAX_INTEGER = 1 << 53
 
 STATES = {
@@ -37,31 +38,31 @@
     HostState.LEAVING: ttypes.HostState.LEAVING,
     HostState.DEAD: ttypes.HostState.DEAD,
 }
-STATES_BY_NUMBER = {check_number: state for state, check_number in STATES.items()}
+STATES_BY_NUMBER = {number: state for state, number in STATES.items()}
 
 
 def malformed_error(what: str) -> ControlMessageError:
-    """Return the error for a field that is missing or out of range."""
-    message = f"control message with a bad {what}"
+    """Return the error for a field that is missing or invalid."""
+    message = f"control message with a missing or invalid {what}"
     return ControlMessageError(message, "run the same release on all hosts")
 
 
 def check_integer(value: int | None, what: str, highest: int = MAX_INTEGER) -> int:
-    """Return a number from 0 to the highest allowed."""
+    """Return an integer from 0 to ``highest``; raise an error for any other value."""
     if value is None or not 0 <= value <= highest:
         raise malformed_error(what)
     return value
 
 
 def check_number(value: float | None, what: str) -> float:
-    """Return a finite number that is not negative."""
+    """Return a finite, non-negative number; raise an error for any other value."""
     if value is None or not math.isfinite(value) or value < 0.0:
         raise malformed_error(what)
     return value
 
 
 def check_name(value: str | None, what: str) -> str:
-    """Return a name that is not empty and not too long."""
+    """Return a name; raise an error if it is empty or too long."""
     if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME:
         raise malformed_error(what)
     return value
@@ -70,7 +71,7 @@
 def read_items(
     values: list[Any] | None, read: Callable[[Any], Item]
 ) -> tuple[Item, ...]:
-    """Return a list's items, each read and checked."""
+    """Return the items of a list, each converted by ``read``."""
     return tuple(read(value) for value in values or ())
 
 
@@ -113,7 +114,7 @@
 
 
 def write_target(target: Target) -> ttypes.Target:
-    """Return the struct of a target; its account is named once, around it."""
+    """Return the struct of a target; the enclosing account struct holds its id."""
     return ttypes.Target(
         target_id=target.target_id,
         tunnel=write_endpoint(target.tunnel),
@@ -143,7 +144,7 @@
 
 
 def write_limits(limits: AccountLimits) -> ttypes.AccountLimits | None:
-    """Return the struct of limits; nothing for the ordinary ones."""
+    """Return the struct of limits; None for the default limits."""
     if limits == AccountLimits():
         return None
     return ttypes.AccountLimits(
@@ -202,7 +203,7 @@
 
 
 def read_record(struct: ttypes.ChangeRecord) -> ChangeRecord:
-    """Return a change record; one that touched no account names none."""
+    """Return a change record; its account id is empty if no account changed."""
     account = None if struct.account is None else read_account(struct.account)
     record = ChangeRecord(
         check_integer(struct.revision, "revision"),
@@ -216,7 +217,7 @@
 
 
 def write_host(host: Host) -> ttypes.Host:
-    """Return the struct of a host's sockets; its id is named around it."""
+    """Return the struct of a host; the enclosing struct holds its id."""
     return ttypes.Host(
         host.zone,
         host.group,
--- a/tests/test_control/test_envelope.py
+++ b/tests/test_control/test_envelope.py
@@ -1,4 +1,4 @@
-"""Codec, envelope and budget of control datagrams."""
+"""Tests of the codec, the envelope and the byte budget of control datagrams."""
 
 from __future__ import annotations
 
@@ -105,11 +105,10 @@
 
 
 def test_forged_and_changed_datagrams_are_refused():
-    """Somebody without the key sends control datagrams.
+    """A datagram from a sender without the key is rejected.
 
-    Every one of them would be free to declare hosts dead or bring in targets. A
-    datagram under another key, with a changed byte, or made for another host
-    fails the digest, whichever byte it is.
+    Such a datagram could declare hosts dead or add targets. The digest fails for a
+    datagram with another key, with any changed byte, or for another host.
     """
     datagram = make_datagram()
     assert reason_of(make_decoder(), make_datagram(key=OLD_KEY)) == "forged"
@@ -121,11 +120,11 @@
 
 
 def test_replayed_datagrams_are_refused():
-    """Somebody records genuine datagrams and sends them again.
+    """A recorded datagram that is sent again has no effect.
 
-    An old "leaving" sent again would take a serving host out of the ring. Each
-    sequence number is taken once; datagrams from before the sender's restart
-    and those from too long ago are refused.
+    A replayed "leaving" update would remove a serving host from the ring. Each
+    sequence number is accepted once. Datagrams from before the sender's restart, and
+    those that are too old, are rejected.
     """
     decoder = make_decoder()
     datagrams = [make_datagram(sequence=number) for number in range(5)]
@@ -171,7 +170,7 @@
 
 
 def parse(body):
-    """Read a body that passed the digest; only ControlMessageError may come out."""
+    """Decode a body with a valid digest; allow only ControlMessageError."""
     datagram = VERSION + digest_of(KEY, "host-0", body) + body
     try:
         make_decoder().decode_datagram(datagram, NOW)
@@ -202,9 +201,9 @@
 
 
 def test_budget_limits_the_rate_and_sends_high_priority_first():
-    """An operator changes much at once, while loads are told as ever.
+    """Many changes are sent at once while loads are sent as usual.
 
-    Without classes the loads would fill the budget and the pings wait behind
+    Without priorities the loads would use up the budget, and pings would wait behind
     them until healthy hosts are suspected.
     """
     budget = ControlBudget()
@@ -227,9 +226,9 @@
 
 
 def test_heartbeats_are_sent_at_once_when_loads_have_used_their_share():
-    """Loads fill the budget, and then many hosts ping this one at once.
+    """Loads use up the budget, and then many hosts ping this one at once.
 
-    Answers that wait behind loads come too late for the pings.
+    Acknowledgements that wait behind loads would arrive too late.
     """
     budget = ControlBudget()
     for _ in range(20):
