--- a/citronspring/key_value/__init__.py
+++ b/citronspring/key_value/__init__.py
@@ -1,1 +1,1 @@
-"""The port to the platform's key-value service and host list."""
+"""Interface to the platform's key-value service and host list."""
--- a/citronspring/key_value/counting.py
+++ b/citronspring/key_value/counting.py
@@ -1,4 +1,4 @@
-"""A platform that counts the calls and bytes going through it."""
+"""A platform wrapper that counts calls and bytes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class CallCounts:
-    """Calls by operation, a waiting watch as one, and bytes of values."""
+    """Number of calls by operation, and bytes of values; a watch counts as one call."""
 
     calls: Counter[str] = field(default_factory=Counter)
     bytes_read: int = 0
@@ -20,11 +20,11 @@
 
     @property
     def total(self) -> int:
-        """All calls together."""
+        """Number of all calls."""
         return self.calls.total()
 
     def clear(self) -> None:
-        """Start from zero."""
+        """Reset all counts to zero."""
         self.calls.clear()
         self.bytes_read = 0
         self.bytes_written = 0
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class CountingPlatform:
-    """Pass calls on to another platform and count them, failed ones too."""
+    """Forwards calls to another platform and counts them, including failed ones."""
 
     platform: Platform
     counts: CallCounts = field(default_factory=CallCounts)
@@ -68,6 +68,6 @@
         return await self.platform.list_hosts()
 
     def count_read(self, stored: StoredValue | None) -> None:
-        """Add the bytes of a value that was read."""
+        """Add the size of a value that was read."""
         if stored is not None:
             self.counts.bytes_read += len(stored.value)
--- a/citronspring/key_value/http.py
+++ b/citronspring/key_value/http.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP."""
+"""HTTP client of the platform."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 if TYPE_CHECKING:
     from types import TracebackType
 
-#: Header that carries the version of a value.
+#: Header with the version of a value.
 VERSION_HEADER = "X-Version"
 
-#: Header that tells how often the service has come back from an older copy. It gives
-#: versions out again then, so a version means something only together with it.
+#: Header with the epoch: how often the service has been restored from a backup. It
+#: reuses versions after a restore, so that a version is only unique within an epoch.
 EPOCH_HEADER = "X-Epoch"
 
-#: Seconds after which a call counts as unanswered.
+#: Timeout of a call in seconds.
 CALL_TIMEOUT = 5.0
 
-#: Seconds the service holds a watch before it answers "nothing new".
+#: Seconds for which the service holds a long poll if the value does not change.
 WATCH_SECONDS = 30.0
 
-#: Failures before any byte of a request went out.
+#: Failures that occur before any byte of a request is sent.
 NOT_SENT = (
     httpx.ConnectError,
     httpx.ConnectTimeout,
@@ -41,7 +41,7 @@
     httpx.UnsupportedProtocol,
 )
 
-#: Answers to a write that say why the service did not run it.
+#: Status codes with which the service refuses a write for a specific reason.
 REFUSAL_CODES = (
     httpx.codes.PRECONDITION_FAILED,
     httpx.codes.REQUEST_ENTITY_TOO_LARGE,
@@ -50,13 +50,13 @@
 
 @dataclass(slots=True)
 class PlatformClient:
-    """Client of the platform's HTTP service; an async context manager."""
+    """Client of the platform's HTTP service, usable as an async context manager."""
 
     client: httpx.AsyncClient
 
     @classmethod
     def from_url(cls, url: str) -> PlatformClient:
-        """Make a client of the service at ``url``."""
+        """Return a client of the service at ``url``."""
         return cls(httpx.AsyncClient(base_url=url, timeout=CALL_TIMEOUT))
 
     async def __aenter__(self) -> PlatformClient:
@@ -89,7 +89,7 @@
                 raise VersionMismatchError(f"{key} is not at version {expected}")
             case httpx.codes.REQUEST_ENTITY_TOO_LARGE:
                 raise ConfigurationError(
-                    f"{key} has {len(value)} bytes, more than the platform takes",
+                    f"{key} has {len(value)} bytes, more than the platform accepts",
                     "use smaller accounts",
                 )
         try:
@@ -97,8 +97,8 @@
         except ValueError as error:
             raise no_answer_error(key, error) from error
         if expected != ABSENT and epoch_of(version) != epoch_of(expected):
-            # The version that was compared is not the one that was expected.
-            raise no_answer_error(key, "the service came back from an older copy")
+            # The service compared with a version of another epoch.
+            raise no_answer_error(key, "the service was restored from a backup")
         return version
 
     async def delete(self, key: str) -> None:
@@ -106,7 +106,7 @@
         await self.write("DELETE", key, b"", {})
 
     async def watch(self, key: str, after_version: int) -> StoredValue:
-        """Wait for a newer version, by one long poll after the other."""
+        """Wait for a newer version by repeated long polls."""
         query = {
             "after": str(count_of(after_version)),
             "epoch": str(epoch_of(after_version)),
@@ -119,7 +119,7 @@
                 return stored_value(response)
 
     async def list_hosts(self) -> HostList:
-        """Read the lagging list of hosts."""
+        """Read the list of live and leaving hosts, which may lag behind."""
         response = await self.read("/hosts")
         try:
             body = response.json()
@@ -133,7 +133,7 @@
         query: dict[str, str] | None = None,
         timeout: float = CALL_TIMEOUT,
     ) -> httpx.Response:
-        """Send a GET; any failure means that nothing was changed."""
+        """Send a GET request; a failed one never has an effect."""
         try:
             response = await self.client.get(path, params=query, timeout=timeout)
         except httpx.HTTPError as error:
@@ -145,11 +145,11 @@
     async def write(
         self, method: str, key: str, value: bytes, headers: dict[str, str]
     ) -> httpx.Response:
-        """Send a write and tell "not sent" from "no answer".
+        """Send a write, and distinguish "not sent" from "no response".
 
-        A request that left this process may take effect, even later. A server
-        error comes from a gateway as often as from the service, so that it too
-        says nothing about the effect.
+        A request that has left this process may still take effect later. A server
+        error may come from a gateway instead of the service, so it also says nothing
+        about the effect.
         """
         try:
             response = await self.client.request(
@@ -167,12 +167,12 @@
 
 
 def path_of(key: str) -> str:
-    """Return the path of a key."""
+    """Return the URL path of a key."""
     return f"/values/{quote(key)}"
 
 
 def condition_of(expected: int) -> dict[str, str]:
-    """Return the header that makes a write conditional."""
+    """Return the headers that make a write conditional on a version."""
     if expected == ABSENT:
         return {"If-None-Match": "*"}
     return {
@@ -182,13 +182,13 @@
 
 
 def version_of(response: httpx.Response) -> int:
-    """Read the version in an answer; raises ValueError when there is none."""
+    """Return the version in a response; raise ValueError if there is none."""
     epoch = int(response.headers.get(EPOCH_HEADER, "0"))
     return ordered_revision(epoch, int(response.headers.get(VERSION_HEADER, "")))
 
 
 def stored_value(response: httpx.Response) -> StoredValue:
-    """Read a value and its version from an answer."""
+    """Return the value in a response, with its version."""
     try:
         return StoredValue(response.content, version_of(response))
     except ValueError as error:
@@ -196,20 +196,20 @@
 
 
 def unavailable_error(cause: object) -> PlatformUnavailableError:
-    """Make the error of a call that was not taken."""
+    """Return the error for a call that the platform did not accept."""
     return PlatformUnavailableError(
-        f"the platform took no call ({cause!r})", "try again when it is back"
+        f"the platform accepted no call ({cause!r})", "try again when it is available"
     )
 
 
 def no_answer_error(key: str, cause: object) -> OutcomeUnknownError:
-    """Make the error of a write without an answer."""
-    return OutcomeUnknownError(f"no answer to the write of {key} ({cause!r})")
+    """Return the error for a write without a usable response."""
+    return OutcomeUnknownError(f"no response to the write of {key} ({cause!r})")
 
 
 def unreadable_error(response: httpx.Response) -> PlatformUnavailableError:
-    """Make the error of an answer to a read that follows no contract."""
+    """Return the error for a malformed response to a read."""
     return PlatformUnavailableError(
-        f"the platform answered {response.status_code} with no readable value",
-        "check that the platform's URL names the key-value service",
+        f"the platform responded with {response.status_code} and no valid value",
+        "check that the platform's URL is that of the key-value service",
     )
--- a/citronspring/key_value/port.py
+++ b/citronspring/key_value/port.py
@@ -1,61 +1,61 @@
-"""The port to the platform's key-value service and host list."""
+"""Interface to the platform's key-value service and host list."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Protocol
 
-#: Largest value the service holds, in bytes.
+#: Maximum size of a value in the service, in bytes.
 MAX_VALUE_BYTES = 1_000_000
 
-#: Version to expect of a key that must not exist yet.
+#: Expected version of a key that must not exist yet.
 ABSENT = 0
 
 
 @dataclass(frozen=True, slots=True)
 class StoredValue:
-    """A value and the version under which the service holds it."""
+    """A value and its version in the service."""
 
     value: bytes
-    #: Rises with each write of the key, never 0. Ordered over returns of the service
-    #: from older copies, see `citronspring.tokens.entries`.
+    #: Increases with each write of the key, and is never 0. The order also holds across
+    #: restores of the service from backups, see `citronspring.tokens.entries`.
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class HostList:
-    """The platform's lagging list of host ids."""
+    """The platform's list of host ids, which may lag behind."""
 
     live: frozenset[str] = frozenset()
     leaving: frozenset[str] = frozenset()
 
 
 class Platform(Protocol):
-    """What citronspring asks of the platform.
+    """The operations that citronspring needs from the platform.
 
-    Every method is one counted call. Reads may be stale: only a successful
-    compare-and-swap shows what the newest version is.
+    Each method makes one counted call. Reads may be stale; only a successful
+    compare-and-swap proves which version is the newest.
 
-    Every method raises PlatformUnavailableError when the service took no call.
-    ``put`` and ``delete`` raise OutcomeUnknownError when the call went out and
-    no answer came back.
+    Every method raises PlatformUnavailableError if the service did not accept the
+    call. ``put`` and ``delete`` raise OutcomeUnknownError if the call was sent but no
+    response arrived.
     """
 
     async def get(self, key: str) -> StoredValue | None:
-        """Read a key; None when it does not exist."""
+        """Read a key; return None if it does not exist."""
 
     async def put(self, key: str, value: bytes, expected: int) -> int:
-        """Write a key whose version is ``expected`` and return the new version.
+        """Write a key whose version is ``expected``, and return its new version.
 
-        Raises VersionMismatchError, with nothing written, when the key has
-        another version; ``ABSENT`` expects no key.
+        ``ABSENT`` requires that the key does not exist. Raises VersionMismatchError,
+        with nothing written, if the key has another version.
         """
 
     async def delete(self, key: str) -> None:
-        """Remove a key; removing an absent key is no error."""
+        """Remove a key; removing an absent key is not an error."""
 
     async def watch(self, key: str, after_version: int) -> StoredValue:
         """Wait until a key has a version above ``after_version``."""
 
     async def list_hosts(self) -> HostList:
-        """Read the lagging list of live and leaving hosts."""
+        """Read the list of live and leaving hosts, which may lag behind."""
--- a/tests/test_key_value/test_http.py
+++ b/tests/test_key_value/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP client against the stand-in and against broken connections."""
+"""Tests of the platform's HTTP client, also with broken connections."""
 
 from __future__ import annotations
 
@@ -90,10 +90,10 @@
 
 
 async def test_lost_answer_over_http():
-    """An operator's write takes effect and the gateway answers for the service.
+    """A write takes effect, but a gateway responds with an error.
 
-    "Unavailable" would tell the operator that nothing changed, which is false:
-    an error after a write left the process says nothing about its effect.
+    PlatformUnavailableError would wrongly mean that nothing changed: an error after
+    the write was sent says nothing about its effect.
     """
     platform = MemoryPlatform(Switches(lost_answers=1))
     async with client_of(platform) as client:
@@ -115,10 +115,9 @@
     ],
 )
 async def test_failed_connections(failure, expected):
-    """The connection fails before or after the request left the process.
+    """The connection fails before or after the request is sent.
 
-    Only a request that never left is known to have changed nothing. Reads
-    change nothing in any case.
+    Only a request that was never sent certainly had no effect. Reads never have one.
     """
     async with failing_client(failure) as client:
         with pytest.raises(expected):
@@ -164,10 +163,10 @@
 
 
 async def test_shutdown_answers_pending_watches(caplog):
-    """The service stops while a reader waits in a watch.
+    """The service stops while a client waits in a watch.
 
-    The watch is answered at once. A server that waits for it first, and then
-    cancels it, takes its grace period and logs an error.
+    The watch is answered at once. If the server waited for it and then cancelled it,
+    stopping would take the whole grace period and log an error.
     """
     platform = MemoryPlatform()
     failures = []
@@ -194,7 +193,7 @@
 
 
 async def test_versions_increase_after_a_restore_from_backup():
-    """A service gives version 2 out twice, for values of two histories."""
+    """After a restore from a backup the service assigns version 2 a second time."""
     platform = MemoryPlatform()
     async with client_of(platform) as client:
         await client.put("head", b"one", ABSENT)
@@ -210,9 +209,9 @@
 
 
 async def test_watch_returns_at_once_after_a_restore_from_backup():
-    """A watch goes on from a version that the service has not given out any more.
+    """A watch starts from a version that the service lost in a restore from a backup.
 
-    It would wait until the service has come as far again.
+    Without the epoch it would wait until the service has reached that version again.
     """
     platform = MemoryPlatform()
     async with client_of(platform) as client:
