--- a/citronspring/settings.py
+++ b/citronspring/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process: a TOML file, checked before anything starts."""
+"""Settings of a host process, read from a TOML file and validated at startup."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 from citronspring.errors import SettingsError
 from citronspring.settings_errors import cross_key_error, escape, settings_error
 
-#: Port of the administration API unless the settings say otherwise.
+#: Default port of the administration API.
 DEFAULT_ADMIN_PORT = 8440
 
-#: Sockets of a host that must differ from every other host's.
+#: Sockets of a host, whose endpoints must be unique among all hosts.
 SOCKETS = ("tunnel", "relay", "control")
 
 
 def read_endpoint(value: object) -> Endpoint:
-    """Read ``ip:port`` text; raises ValueError on anything else."""
+    """Parse ``ip:port`` text; raise ValueError for anything else."""
     if isinstance(value, Endpoint):
         return value
     if not isinstance(value, str):
@@ -45,25 +45,25 @@
 
 
 def check_endpoint(value: Endpoint) -> Endpoint:
-    """Refuse a port outside 1 to 65535, and what is no host's address."""
+    """Refuse a port outside 1 to 65535, or an address that no single host can have."""
     if not 0 < value.port < 65536:
         raise ValueError("the port must be 1 to 65535")
     return Endpoint(check_ip(value.ip), value.port)
 
 
 def check_ip(text: str) -> str:
-    """Return an address in its canonical form, if one host can have it."""
+    """Return an IP address in canonical form; raise ValueError if it is not unicast."""
     try:
         address = ip_address(text)
     except ValueError:
-        raise ValueError("must hold an IP number, no host name") from None
+        raise ValueError("must be an IP address, not a host name") from None
     if address.is_unspecified or address.is_multicast or "%" in text:
-        raise ValueError("must be an address that one host can have")
+        raise ValueError("must be the address of a single host")
     return str(address)
 
 
 def check_url(url: str) -> str:
-    """Refuse what is no HTTP URL."""
+    """Refuse anything but an HTTP or HTTPS URL."""
     parts = urlsplit(url)
     if parts.scheme not in ("http", "https") or not parts.hostname:
         raise ValueError("must be a URL such as 'http://10.20.0.10:8500'")
@@ -83,7 +83,7 @@
 
 
 class Section(BaseModel):
-    """Base of all sections: an unknown key is an error, never ignored."""
+    """Base class of all sections; an unknown key is an error."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -94,7 +94,7 @@
 
 
 class HostSection(Section):
-    """Identity and sockets of a host; also each entry of ``[[peers]]``."""
+    """Identity and sockets of a host; also used for the entries of ``[[peers]]``."""
 
     id: Name
     zone: Name
@@ -104,17 +104,17 @@
     control: EndpointText
 
     def to_host(self) -> Host:
-        """Return the host as the decision core knows it."""
+        """Return the host entity of the decision core."""
         return Host(
             self.id, self.zone, self.group, self.tunnel, self.relay, self.control
         )
 
 
 class FabricSection(Section):
-    """Where packets to callers go, and whose packets count as callers'."""
+    """Network fabric: where packets to callers go, and where callers' come from."""
 
     gateway: EndpointText
-    #: Addresses fabric packets come from; the gateway's own is always one.
+    #: Source addresses of packets from the fabric, in addition to the gateway's.
     sources: tuple[IpText, ...] = ()
 
 
@@ -122,33 +122,33 @@
     """The platform's key-value service."""
 
     url: Annotated[str, AfterValidator(check_url)]
-    #: Every availability zone; an address moves between client accounts only
-    #: once all of them have let it go.
+    #: All availability zones. An address moves between client accounts only after all
+    #: of them have confirmed its release.
     zones: Annotated[tuple[Name, ...], Field(min_length=1)]
 
 
 class LimitsSection(Section):
-    """Bounds of this process."""
+    """Limits of this process."""
 
     max_flows: Count = DEFAULT_MAX_FLOWS
-    #: Seconds a stopping host may serve what is in flight.
+    #: Seconds for which a stopping host may still serve traffic in flight.
     leave_seconds: Seconds = 30.0
 
 
 class ControlSection(Section):
-    """The key by which hosts know each other's control datagrams."""
+    """Key with which hosts authenticate control datagrams."""
 
-    #: Hexadecimal, at least 16 bytes; better kept in a file.
+    #: Hexadecimal, at least 16 bytes; preferably kept in a file.
     key: SecretStr | None = None
-    #: File that holds the key.
+    #: File that contains the key.
     key_file: str | None = None
-    #: Accepted as well while keys are being replaced.
+    #: Also accepted, for a key rotation.
     previous_key: SecretStr | None = None
     previous_key_file: str | None = None
 
     @model_validator(mode="after")
     def check_keys(self) -> Self:
-        """Require one place for each key, and a key before a previous one."""
+        """Allow one source for each key, and a previous key only with a current one."""
         if self.key is not None and self.key_file is not None:
             raise cross_key_error("key_file", "(hidden)", "give either key or key_file")
         if self.previous_key is not None and self.previous_key_file is not None:
@@ -172,18 +172,18 @@
 
 
 class TokenSection(Section):
-    """A bearer token of the administration API; the value is kept elsewhere."""
+    """A bearer token of the administration API; its value is not in the settings."""
 
     name: Name
     role: Literal["read", "operate"]
-    #: File that holds the token.
+    #: File that contains the token.
     file: str | None = None
-    #: Environment variable that holds the token.
+    #: Environment variable that contains the token.
     env: str | None = None
 
     @model_validator(mode="after")
     def check_source(self) -> Self:
-        """Require exactly one place to read the token from."""
+        """Require exactly one source of the token."""
         if (self.file is None) == (self.env is None):
             remedy = "name either a file or an environment variable (env)"
             raise cross_key_error("", self.name, remedy)
@@ -193,21 +193,21 @@
 class AdminSection(Section):
     """The administration API."""
 
-    #: Unless given, port 8440 of the address of the host's control socket.
+    #: Default: port 8440 on the address of the host's control socket.
     listen: EndpointText | None = None
-    #: PEM files; with neither, the API is served in clear text.
+    #: PEM files; without them the API is served in clear text.
     certificate_file: str | None = None
     key_file: str | None = None
     tokens: tuple[TokenSection, ...] = ()
-    #: Largest request body, bytes.
+    #: Maximum size of a request body in bytes.
     max_body_bytes: Count = 1_000_000
-    #: Requests a second that each token may make, and how many at once.
+    #: Request rate and burst allowed for each token.
     requests_per_second: Annotated[float, Field(strict=True, gt=0, le=1e6)] = 20.0
     burst: Count = 40
 
     @model_validator(mode="after")
     def check_admin(self) -> Self:
-        """Require a certificate with its key, and names that differ."""
+        """Require a certificate together with its key, and unique token names."""
         if (self.certificate_file is None) != (self.key_file is None):
             given = "certificate_file" if self.certificate_file else "key_file"
             remedy = "give certificate_file and key_file together"
@@ -229,7 +229,7 @@
 
 
 class Settings(Section):
-    """All settings of one host process."""
+    """All settings of a host process."""
 
     host: HostSection
     fabric: FabricSection
@@ -242,12 +242,12 @@
 
     @classmethod
     def from_toml(cls, path: Path) -> Settings:
-        """Read and check a settings file.
+        """Read and validate a settings file.
 
         Raises
         ------
         SettingsError
-            In one line, naming file, key, value and remedy.
+            One line that names the file, the key, the value and a remedy.
         """
         try:
             return cls.model_validate(tomllib.loads(path.read_text("utf-8")))
@@ -262,17 +262,17 @@
 
     @property
     def admin_endpoint(self) -> Endpoint:
-        """Where the administration API is to listen."""
+        """Endpoint on which the administration API listens."""
         return self.admin.listen or Endpoint(self.host.control.ip, DEFAULT_ADMIN_PORT)
 
     def host_sections(self) -> list[tuple[str, HostSection]]:
-        """Return this host and its peers with their keys."""
+        """Return the sections of this host and its peers, with their keys."""
         peers = [(f"peers.{index}", peer) for index, peer in enumerate(self.peers)]
         return [("host", self.host), *peers]
 
     @model_validator(mode="after")
     def check_ids(self) -> Self:
-        """Refuse two hosts of one id: each would take the other's flows."""
+        """Refuse two hosts with one id: each would take over the other's flows."""
         seen: dict[str, str] = {}
         for key, section in self.host_sections():
             if section.id in seen:
@@ -285,8 +285,8 @@
     def check_zones(self) -> Self:
         """Refuse a host in a zone that is not listed.
 
-        Nobody would wait for such a zone before an address moves to another
-        account, and its hosts would send packets to the wrong one.
+        Moves of addresses between client accounts do not wait for such a zone, so that
+        its hosts would send packets to the wrong account.
         """
         for key, section in self.host_sections():
             if section.zone not in self.platform.zones:
@@ -296,41 +296,41 @@
 
     @model_validator(mode="after")
     def check_sockets(self) -> Self:
-        """Refuse one address for two sockets: a packet would be misread."""
+        """Refuse one endpoint for two sockets: packets would be misinterpreted."""
         seen: dict[Endpoint, str] = {}
         for key, section in self.host_sections():
             for name in SOCKETS:
                 endpoint = getattr(section, name)
                 if endpoint in seen:
-                    remedy = f"{seen[endpoint]} is there already: use another port"
+                    remedy = f"{seen[endpoint]} already uses it: use another port"
                     raise cross_key_error(f"{key}.{name}", endpoint, remedy)
                 seen[endpoint] = f"{key}.{name}"
         return self
 
     @model_validator(mode="after")
     def check_control(self) -> Self:
-        """Refuse control sockets that others reach when there is no key."""
+        """Refuse control sockets outside loopback if there is no key."""
         for key, section in self.host_sections():
             ip = section.control.ip
             if not self.control.has_key and not ip_address(ip).is_loopback:
-                remedy = f"{key}.control is not on loopback: give all hosts one key"
+                remedy = f"{key}.control is not on loopback: configure one common key"
                 raise cross_key_error("control.key_file", "", remedy)
         return self
 
     @model_validator(mode="after")
     def check_fabric(self) -> Self:
-        """Refuse a fabric address that is a host's.
+        """Refuse a fabric address that is also the address of a host.
 
-        What comes from a fabric address counts as a caller's packet, so answers
-        that another host relays would be taken for callers' and lost.
+        Packets from a fabric address are treated as callers' packets, so that answers
+        relayed by such a host would be misinterpreted and lost.
         """
         gateway = self.fabric.gateway
-        named = [("fabric.gateway", gateway.ip, str(gateway))]
+        addresses = [("fabric.gateway", gateway.ip, str(gateway))]
         for index, source in enumerate(self.fabric.sources):
-            named.append((f"fabric.sources.{index}", source, source))
+            addresses.append((f"fabric.sources.{index}", source, source))
         for key, section in self.host_sections():
             ips = {getattr(section, name).ip for name in SOCKETS}
-            for fabric_key, ip, value in named:
+            for fabric_key, ip, value in addresses:
                 if ip in ips:
                     remedy = f"{key} uses this address: give the fabric its own"
                     raise cross_key_error(fabric_key, value, remedy)
--- a/citronspring/settings_errors.py
+++ b/citronspring/settings_errors.py
@@ -1,4 +1,4 @@
-"""Findings of a settings check as errors of one line."""
+"""Convert findings of the settings validation to one-line errors."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
     from pydantic import ValidationError
 
-#: Type of the findings that carry key, value and remedy themselves.
+#: Type of the findings that contain their own key, value and remedy.
 CROSS_KEY_ERROR = "finding"
 
-#: Longest value that an error shows, characters.
+#: Maximum length, in characters, of a value in an error message.
 MAX_PRINTED_LENGTH = 80
 
-#: Sections whose values may be secrets put in by mistake.
+#: Sections whose values are never shown, because they may be misplaced secrets.
 SECRET_SECTIONS = ("admin.tokens", "control")
 
 
 def cross_key_error(key: str, value: object, remedy: str) -> PydanticCustomError:
-    """Make the finding of a check over several keys.
+    """Return the finding of a check that involves several keys.
 
     Parameters
     ----------
     key : str
-        Relative to the section that is checked; empty for the section itself.
+        Key relative to the section that is checked; empty for the section itself.
     value : object
-        What was found there.
+        Value of the key.
     remedy : str
-        What to do about it.
+        Remedy for the user.
     """
     context = {"key": key, "value": str(value), "remedy": remedy}
     return PydanticCustomError(CROSS_KEY_ERROR, "{remedy}", context)
@@ -44,7 +44,7 @@
 def settings_error(
     path: Path, error: ValidationError, known: Collection[str]
 ) -> SettingsError:
-    """Return the one-line error for the first finding of a check.
+    """Return the one-line error for the first finding of a validation.
 
     Parameters
     ----------
@@ -53,7 +53,7 @@
     error : ValidationError
         The findings.
     known : collection of str
-        Known keys, to propose one in place of a misspelt one.
+        Known keys, one of which is suggested in place of a misspelt one.
     """
     first: Any = error.errors(include_url=False)[0]
     parts = [str(part) for part in first["loc"]]
@@ -73,12 +73,12 @@
 
 
 def is_secret(key: str) -> bool:
-    """Return whether a value may be a secret, never to be shown."""
+    """Return whether the value of a key may be a secret, which must not be shown."""
     return key.startswith(SECRET_SECTIONS)
 
 
 def remedy_of_unknown(key: str, known: Collection[str]) -> str:
-    """Return what to do about a key that is not known."""
+    """Return the remedy for an unknown key."""
     close = get_close_matches(key, known, n=1)
     if close and close[0] != key:
         return f"did you mean {close[0]}?"
@@ -86,7 +86,7 @@
 
 
 def remedy_of(first: Any, key: str) -> str:
-    """Return what to do about a value that does not fit."""
+    """Return the remedy for an invalid value."""
     reason = first["msg"].removeprefix("Value error, ")
     if key.endswith("_seconds") and first["type"] != CROSS_KEY_ERROR:
         return f"give seconds as a plain number without a unit: {escape(reason)}"
@@ -94,7 +94,7 @@
 
 
 def escape(value: object) -> str:
-    """Return a value as text that fits on the line of an error."""
+    """Return a value as printable text of limited length."""
     printable = "".join(
         char if char.isprintable() else char.encode("unicode_escape").decode()
         for char in str(value)
