--- a/citronspring/configuration/changes.py
+++ b/citronspring/configuration/changes.py
@@ -1,4 +1,4 @@
-"""The changes operators make, and their ids."""
+"""Changes that operators submit, and their ids."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from citronspring.configuration.plain_data import check_plain_data
 from citronspring.errors import ConfigurationError
 
-#: A revision the client knew, a dash, and a token of the client's own.
+#: A revision that the client knows, a dash, and a token that the client chooses.
 CHANGE_ID = re.compile(r"(0|[1-9][0-9]{0,17})-([A-Za-z0-9_.-]{1,64})")
 
-#: Longest name of an author, in characters.
+#: Maximum length of an author's name in characters.
 MAX_AUTHOR_LENGTH = 64
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Change:
-    """What every change carries."""
+    """Base class with the attributes of every change."""
 
-    #: Made once by the client and sent again with each retry, see
+    #: Idempotency key: created once by the client and sent again with each retry, see
     #: :func:`make_change_id`.
     change_id: str
     author: str
-    #: Revision at which the operator saw the account or template: 0 expects
-    #: none to exist, None takes it as it is when the commit starts.
+    #: Revision at which the operator saw the account or template. 0 requires that it
+    #: does not exist; None accepts the state at the start of the commit.
     if_revision: int | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PutTemplate(Change):
-    """Create or replace a template; its accounts are rendered again."""
+    """Create or replace a template, and render its accounts again."""
 
-    #: The template as the operator wrote it, not validated yet.
+    #: The template as the operator wrote it, not yet validated.
     template: Mapping[str, Any]
 
 
@@ -45,20 +45,20 @@
     account_id: str
     #: Name of the template.
     template: str
-    #: Parameters as the operator wrote them, not validated yet.
+    #: The parameters as the operator wrote them, not yet validated.
     parameters: Mapping[str, Any]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DeleteAccount(Change):
-    """Delete a client account with all its targets, at once."""
+    """Delete a client account with all its targets immediately, without draining."""
 
     account_id: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DrainTarget(Change):
-    """Let a target take no new flows and keep the ones it has."""
+    """Send no new flows to a target; it keeps its existing ones."""
 
     account_id: str
     target_id: str
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UndrainTarget(Change):
-    """Let a drained target take new flows again."""
+    """Send new flows to a drained target again."""
 
     account_id: str
     target_id: str
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PurgeTarget(Change):
-    """Forget a target that was removed from the parameters before."""
+    """Remove a target from the list after it was removed from the parameters."""
 
     account_id: str
     target_id: str
@@ -86,16 +86,17 @@
 
 
 def make_change_id(revision: int, token: str) -> str:
-    """Make a change id.
+    """Return a change id.
 
     Parameters
     ----------
     revision : int
-        Any revision that the client has seen accepted; a recent one, as the
-        store remembers some hundred change ids. From it the store tells "never
-        committed" from "committed so long ago that the id is forgotten".
+        A revision that the client has seen committed. It should be recent, because
+        the store records only some hundred change ids. The store uses it to
+        distinguish a change that was never committed from one that was committed so
+        long ago that its id is no longer recorded.
     token : str
-        Tells the ids of all clients apart, for example a random UUID.
+        Makes the id unique among all clients, for example a random UUID.
     """
     change_id = f"{revision}-{token}"
     change_id_revision(change_id)
@@ -103,27 +104,27 @@
 
 
 def change_id_revision(change_id: str) -> int:
-    """Return the revision that the maker of a change id had seen.
+    """Return the revision that a change id contains.
 
-    Raises ConfigurationError when the id has another form.
+    Raises ConfigurationError if the id is malformed.
     """
     found = CHANGE_ID.fullmatch(change_id)
     if found is None:
         raise ConfigurationError(
-            f"change id {change_id[:100]!r} has not the form revision-token",
-            "make it from a revision you have seen and a random token, as 41-3f9c",
+            f"change id {change_id[:100]!r} is not of the form revision-token",
+            "make it from a revision you have seen and a random token, such as 41-3f9c",
         )
     return int(found[1])
 
 
 def check_change(change: AnyChange) -> None:
-    """Raise ConfigurationError when a change is not formed as its class says."""
+    """Raise ConfigurationError if an attribute of a change has a wrong type or form."""
     check_text("change id", change.change_id)
     change_id_revision(change.change_id)
     check_text("author", change.author)
     check_author(change.author)
     if change.if_revision is not None and type(change.if_revision) is not int:
-        raise ConfigurationError("if_revision is no whole number", "give a revision")
+        raise ConfigurationError("if_revision is not an integer", "give a revision")
     if not isinstance(change, PutTemplate):
         check_text("account id", change.account_id)
     match change:
@@ -137,22 +138,22 @@
 
 
 def check_text(what: str, value: object) -> None:
-    """Raise ConfigurationError when a value is no text of one line."""
+    """Raise ConfigurationError unless a value is one line of printable text."""
     if not isinstance(value, str) or not value.isprintable():
-        raise ConfigurationError(f"{what} is no text of one line", "quote it")
+        raise ConfigurationError(f"{what} is not one line of text", "quote it")
 
 
 def check_mapping(what: str, value: object) -> None:
-    """Raise ConfigurationError when a value is no table of plain data."""
+    """Raise ConfigurationError unless a value is a table of plain data."""
     if not isinstance(value, Mapping):
-        raise ConfigurationError(f"{what} has no keys", "write it as a table")
+        raise ConfigurationError(f"{what} is not a table", "write it as a table")
     check_plain_data(what, dict(value))
 
 
 def check_author(author: str) -> None:
-    """Raise ConfigurationError when an author's name is not usable."""
+    """Raise ConfigurationError if an author's name is empty or too long."""
     if not 0 < len(author) <= MAX_AUTHOR_LENGTH:
         raise ConfigurationError(
-            f"author {author[:100]!r} is not a name",
+            f"author {author[:100]!r} is empty or too long",
             f"give 1 to {MAX_AUTHOR_LENGTH} characters",
         )
--- a/citronspring/configuration/difference.py
+++ b/citronspring/configuration/difference.py
@@ -1,4 +1,4 @@
-"""Tell in a few lines what a change did."""
+"""Describe the effect of a change in a few lines."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
     from citronspring.configuration.rendering import RenderedAccount
     from citronspring.configuration.shards import AccountEntry
 
-#: Most lines kept of one change.
+#: Maximum number of lines that describe one change.
 LINES_KEPT = 8
 
 
 def account_difference(
     before: AccountEntry | None, after: AccountEntry | None
 ) -> tuple[str, ...]:
-    """Return what a change did to an account, a line per difference."""
+    """Return the effect of a change on an account, one line per difference."""
     if before is None:
         return ("created",)
     if after is None:
@@ -35,7 +35,7 @@
 def mapping_difference(
     before: Mapping[str, Any], after: Mapping[str, Any]
 ) -> list[str]:
-    """Return a line per key with another value, and per item of a list."""
+    """Return a line for each changed key, or for each changed item of a list."""
     lines = []
     for key in sorted(set(before) | set(after)):
         old, new = before.get(key), after.get(key)
@@ -50,7 +50,7 @@
 
 
 def target_difference(before: RenderedAccount, after: RenderedAccount) -> list[str]:
-    """Return a line per target that leaves, comes back or is forgotten."""
+    """Return a line for each target that was drained, undrained or purged."""
     old = {target.target_id: target for target in before.account.targets}
     new = {target.target_id: target for target in after.account.targets}
     lines = []
@@ -64,7 +64,7 @@
 
 
 def truncate_lines(lines: list[str]) -> tuple[str, ...]:
-    """Return the first lines and how many more there are."""
+    """Return the first lines, followed by the number of omitted ones."""
     if len(lines) <= LINES_KEPT:
         return tuple(lines)
     more = f"and {len(lines) - LINES_KEPT + 1} more"
--- a/citronspring/configuration/models.py
+++ b/citronspring/configuration/models.py
@@ -1,4 +1,4 @@
-"""Validated models of what operators write: templates and account bodies."""
+"""Validation models for templates and account bodies."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
 from citronspring.entities import Protocol as IpProtocol
 from citronspring.errors import ConfigurationError
 
-#: Most service addresses, targets and zones of one account.
+#: Maximum number of service addresses, of targets and of zones of an account.
 MAX_ACCOUNT_ITEMS = 512
 
-#: Largest template as JSON, in bytes.
+#: Maximum size of a template as JSON, in bytes.
 MAX_TEMPLATE_BYTES = 16_384
 
 
 def canonical_ip(text: str) -> str:
-    """Return an address in its canonical form, if one host can have it."""
+    """Return an IP address in canonical form; raise ValueError if it is not unicast."""
     address: IPv4Address | IPv6Address = ip_address(text)
     if getattr(address, "scope_id", None):
-        raise ValueError("an address without a scope is needed")
+        raise ValueError("the address must not have a scope")
     if getattr(address, "ipv4_mapped", None):
         raise ValueError("write it as an IPv4 address")
     if address.is_multicast or address.is_unspecified:
-        raise ValueError("an address that one host can have is needed")
+        raise ValueError("must be the address of a single host")
     return str(address)
 
 
 def canonical_endpoint(text: str) -> str:
-    """Return ``ip:port`` in its canonical form."""
+    """Return ``ip:port`` in canonical form."""
     endpoint = Endpoint.from_text(text)
     if not 0 < endpoint.port < 65536:
-        raise ValueError("a port from 1 to 65535 is needed")
+        raise ValueError("the port must be from 1 to 65535")
     return str(Endpoint(canonical_ip(endpoint.ip), endpoint.port))
 
 
@@ -62,7 +62,7 @@
 
 
 class StrictModel(BaseModel):
-    """Refuse unknown keys, and other types than the named ones."""
+    """Base model that rejects unknown keys and does not convert types."""
 
     model_config = ConfigDict(
         extra="forbid", strict=True, frozen=True, allow_inf_nan=False
@@ -70,19 +70,19 @@
 
 
 class ServiceAddressModel(StrictModel):
-    """What callers connect to."""
+    """An address and port to which callers connect."""
 
     ip: IpText
     port: Port
     protocol: Literal["tcp", "udp"] = "tcp"
 
     def to_entity(self) -> ServiceAddress:
-        """Return the data class."""
+        """Return the service address entity."""
         return ServiceAddress(self.ip, self.port, IpProtocol[self.protocol.upper()])
 
 
 class TargetModel(StrictModel):
-    """A server of the account."""
+    """A target of a client account."""
 
     target_id: Name
     tunnel: EndpointText
@@ -93,7 +93,7 @@
 
 
 class LimitsModel(StrictModel):
-    """Limits of the account, with the defaults of ``AccountLimits``."""
+    """Limits of a client account, with the defaults of ``AccountLimits``."""
 
     max_connections: int = Field(default=100_000, ge=0, le=100_000_000)
     new_per_second: float = Field(default=10_000.0, ge=0, le=10_000_000)
@@ -103,12 +103,12 @@
     udp_idle_timeout: float = Field(default=120.0, ge=1, le=86_400)
 
     def to_entity(self) -> AccountLimits:
-        """Return the data class."""
+        """Return the limits entity."""
         return AccountLimits(**self.model_dump())
 
 
 class AccountModel(StrictModel):
-    """An account with every parameter filled in."""
+    """A client account in which all references are replaced by parameters."""
 
     addresses: list[ServiceAddressModel] = Field(max_length=MAX_ACCOUNT_ITEMS)
     targets: list[TargetModel] = Field(max_length=MAX_ACCOUNT_ITEMS)
@@ -116,7 +116,7 @@
     limits: LimitsModel = Field(default_factory=LimitsModel)
 
 
-#: Types a parameter can have.
+#: Types that a parameter can have.
 PARAMETER_TYPES: dict[str, TypeAdapter[Any]] = {
     "integer": TypeAdapter(Annotated[int, Field(strict=True, ge=-(2**53), le=2**53)]),
     "number": TypeAdapter(Annotated[float, Field(strict=True, allow_inf_nan=False)]),
@@ -149,28 +149,28 @@
 
 
 class ParameterModel(StrictModel):
-    """One typed parameter of a template."""
+    """A typed parameter of a template."""
 
     type: ParameterType
-    #: Value when the account gives none; without a default it must give one.
+    #: Value for accounts that give none; without a default every account must give one.
     default: JsonValue = None
     minimum: float | None = None
     maximum: float | None = None
 
     @property
     def required(self) -> bool:
-        """Whether each account must give a value."""
+        """Whether every account must give a value."""
         return self.default is None
 
     @model_validator(mode="after")
     def check_default(self) -> Self:
-        """Let a default obey its own type and range."""
+        """Check the default against the type and range of the parameter."""
         if self.default is not None:
             self.check(self.default)
         return self
 
     def check(self, value: object) -> Any:
-        """Return a value in JSON form; raises ValueError when it does not fit."""
+        """Return a value in JSON form; raise ValueError if it is not valid."""
         adapter = PARAMETER_TYPES[self.type]
         try:
             checked = adapter.validate_python(value)
@@ -181,7 +181,7 @@
         return adapter.dump_python(checked, mode="json", exclude_defaults=True)
 
     def check_range(self, value: float) -> None:
-        """Raise ValueError when a number lies outside the range."""
+        """Raise ValueError if a number is outside the range."""
         if self.minimum is not None and value < self.minimum:
             raise ValueError(f"{escape(value)} is below {self.minimum}")
         if self.maximum is not None and value > self.maximum:
@@ -189,30 +189,30 @@
 
 
 class BodyModel(StrictModel):
-    """What a template makes of its parameters; ``{name}`` stands for one."""
+    """Body of a template, in which ``{name}`` refers to a parameter."""
 
     addresses: JsonValue = Field(default_factory=list)
     targets: JsonValue = Field(default_factory=list)
     zones: JsonValue = Field(default_factory=list)
     limits: dict[str, JsonValue] = Field(default_factory=dict)
-    #: Keys of targets that leave them out.
+    #: Defaults for the keys of targets.
     target_defaults: dict[str, JsonValue] = Field(default_factory=dict)
 
     @field_validator("limits")
     @classmethod
     def check_limits(cls, limits: dict[str, JsonValue]) -> dict[str, JsonValue]:
-        """Let the limits be known ones."""
+        """Refuse unknown limits."""
         return check_keys(limits, LimitsModel)
 
     @field_validator("target_defaults")
     @classmethod
     def check_defaults(cls, defaults: dict[str, JsonValue]) -> dict[str, JsonValue]:
-        """Let the defaults be keys of a target."""
+        """Refuse defaults that are not keys of a target."""
         return check_keys(defaults, TargetModel)
 
 
 class TemplateModel(StrictModel):
-    """A kind of service, written once by the operators."""
+    """A template that operators write once for many client accounts."""
 
     name: Name
     parameters: dict[ParameterName, ParameterModel] = Field(default_factory=dict)
@@ -220,7 +220,7 @@
 
     @classmethod
     def from_config(cls, raw: object) -> TemplateModel:
-        """Validate a template; raises ConfigurationError naming key and remedy."""
+        """Validate a template; the ConfigurationError names the key and a remedy."""
         try:
             template = cls.model_validate(raw)
         except ValidationError as error:
@@ -228,7 +228,7 @@
         size = len(template.model_dump_json())
         if size > MAX_TEMPLATE_BYTES:
             raise ConfigurationError(
-                f"template has {size} bytes", f"keep to {MAX_TEMPLATE_BYTES}"
+                f"template has {size} bytes", f"use at most {MAX_TEMPLATE_BYTES}"
             )
         return template
 
@@ -236,9 +236,9 @@
 def check_keys(
     values: dict[str, JsonValue], model: type[BaseModel]
 ) -> dict[str, JsonValue]:
-    """Return ``values``; raises ValueError when a key is no field of the model."""
+    """Return ``values``; raise ValueError if a key is not a field of the model."""
     unknown = sorted(set(values) - set(model.model_fields))
     if unknown:
         known = ", ".join(model.model_fields)
-        raise ValueError(f"unknown key {escape(unknown[0])}; known are {known}")
+        raise ValueError(f"unknown key {escape(unknown[0])}; known keys are {known}")
     return values
--- a/citronspring/configuration/plain_data.py
+++ b/citronspring/configuration/plain_data.py
@@ -1,4 +1,4 @@
-"""Check that what an operator wrote is plain data of bounded size."""
+"""Check that an operator's input is plain data of bounded depth."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from citronspring.configuration.validation_errors import escape
 from citronspring.errors import ConfigurationError
 
-#: Most levels of lists and tables inside each other.
+#: Maximum nesting depth of lists and tables.
 MAX_DEPTH = 8
 
-#: Largest whole number, as every JSON reader holds it.
+#: Largest integer that every JSON parser represents exactly.
 LARGEST_INTEGER = 2**53
 
 
 def check_plain_data(what: str, value: object, levels: int = MAX_DEPTH) -> None:
     """Raise ConfigurationError unless a value is plain data, naming the key.
 
-    Deeper levels would overflow the stack of the code that renders them, and
-    some numbers are written to the platform and cannot be read back.
+    Deeper nesting would overflow the stack while rendering. Numbers that are not
+    finite, or too large, could be stored but not read back.
     """
     if levels < 0:
         raise ConfigurationError(
-            f"{what[:200]}: too many levels", f"keep to {MAX_DEPTH}"
+            f"{what[:200]}: too deeply nested", f"use at most {MAX_DEPTH} levels"
         )
     match value:
         case None | bool() | str():
@@ -41,11 +41,11 @@
         case _:
             raise ConfigurationError(
                 f"{what}: {escape(value)} cannot be stored",
-                "use text, finite numbers of usual size, lists and tables",
+                "use text, finite numbers of ordinary size, lists and tables",
             )
 
 
 def check_key(what: str, key: object) -> None:
     """Raise ConfigurationError unless a key is text."""
     if not isinstance(key, str):
-        raise ConfigurationError(f"{what}: key {escape(key)} is no text", "quote it")
+        raise ConfigurationError(f"{what}: key {escape(key)} is not text", "quote it")
--- a/citronspring/configuration/rendering.py
+++ b/citronspring/configuration/rendering.py
@@ -1,4 +1,4 @@
-"""Render an account from its template, and carry over what its targets were."""
+"""Render client accounts from templates, and keep the state of their targets."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
     from citronspring.configuration.models import TemplateModel
 
-#: A string that stands for a parameter.
+#: A string that is replaced by the value of a parameter.
 REFERENCE = re.compile(r"\{([a-z][a-z0-9_]*)\}")
 
-#: Seconds for which a target removed from the parameters stays listed.
+#: Seconds for which a target that was removed from the parameters stays listed.
 RETENTION_SECONDS = 7 * 86_400.0
 
 NAME = TypeAdapter(Name)
@@ -33,15 +33,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RenderedAccount:
-    """An account and until when its removed targets stay listed."""
+    """A rendered account, and how long its removed targets stay listed."""
 
     account: Account
-    #: Deadline by target id, for targets the parameters no longer have.
+    #: Deadline by target id, for targets that are no longer in the parameters.
     retain_until: dict[str, float]
 
 
 def check_account_id(account_id: str) -> None:
-    """Raise ConfigurationError when a name cannot be an account's."""
+    """Raise ConfigurationError if an account id is not valid."""
     try:
         NAME.validate_python(account_id)
     except ValidationError as error:
@@ -51,9 +51,9 @@
 def check_parameters(
     template: TemplateModel, parameters: Mapping[str, Any], what: str
 ) -> dict[str, Any]:
-    """Check an account's parameters and return them in JSON form.
+    """Check the parameters of an account and return them in JSON form.
 
-    Defaults are left out: they follow the template when it changes.
+    Defaults are not added, so that a change of the template's defaults takes effect.
     """
     unknown = sorted(set(parameters) - set(template.parameters))
     if unknown:
@@ -79,17 +79,17 @@
 
 
 def check_references(template: TemplateModel) -> None:
-    """Raise ConfigurationError when a body names an undeclared parameter."""
+    """Raise ConfigurationError if a body refers to an undeclared parameter."""
     for name in sorted(references_in(template.body.model_dump())):
         if name not in template.parameters:
             raise ConfigurationError(
-                f"template {template.name}: body uses {{{escape(name)}}}",
+                f"template {template.name}: the body uses {{{escape(name)}}}",
                 f"declare the parameter {escape(name)}",
             )
 
 
 def references_in(value: JsonValue) -> set[str]:
-    """Return the names of the parameters that a value stands for."""
+    """Return the names of the parameters that a value refers to."""
     match value:
         case str():
             found = REFERENCE.fullmatch(value)
@@ -102,7 +102,7 @@
 
 
 def substitute(value: JsonValue, values: Mapping[str, Any]) -> Any:
-    """Return a value with the parameters in the place of their names."""
+    """Return a value in which references are replaced by the parameters."""
     match value:
         case str():
             found = REFERENCE.fullmatch(value)
@@ -117,9 +117,9 @@
 def render(
     template: TemplateModel, account_id: str, parameters: Mapping[str, Any]
 ) -> Account:
-    """Render an account as if all its targets were new at revision 0.
+    """Render an account as if all its targets were added at revision 0.
 
-    Raises ConfigurationError naming the account, key and value.
+    Raises ConfigurationError, which names the account, key and value.
     """
     what = f"account {account_id}"
     values = parameters_with_defaults(template, parameters, what)
@@ -143,18 +143,20 @@
     values = {}
     for name, parameter in template.parameters.items():
         if name not in parameters and parameter.required:
-            raise ConfigurationError(f"{what}: no parameter {name}", f"add {name}")
+            raise ConfigurationError(
+                f"{what}: parameter {name} is missing", f"add {name}"
+            )
         values[name] = parameters.get(name, parameter.default)
     return values
 
 
 def with_defaults(target: Any, defaults: dict[str, Any]) -> Any:
-    """Return a target with the template's defaults for keys it leaves out."""
+    """Return a target, with the template's defaults for keys that it lacks."""
     return {**defaults, **target} if isinstance(target, dict) else target
 
 
 def to_account(account_id: str, model: AccountModel) -> Account:
-    """Return the data class of an account."""
+    """Return the account entity of a model."""
     return Account(
         account_id,
         tuple(sorted(address.to_entity() for address in model.addresses)),
@@ -165,7 +167,7 @@
 
 
 def to_target(account_id: str, model: TargetModel) -> Target:
-    """Return the data class of a target."""
+    """Return the target entity of a model."""
     return Target(
         model.target_id,
         account_id,
@@ -178,7 +180,7 @@
 
 
 def check_unique(account: Account, what: str) -> None:
-    """Raise ConfigurationError when an account lists one thing twice."""
+    """Raise ConfigurationError if an account has duplicate entries."""
     refuse_duplicates(account.addresses, f"{what}: service address")
     refuse_duplicates((t.target_id for t in account.targets), f"{what}: target")
     refuse_duplicates((t.tunnel.ip for t in account.targets), f"{what}: tunnel")
@@ -186,16 +188,20 @@
 
 
 def refuse_duplicates(values: Iterable[Hashable], what: str) -> None:
-    """Raise ConfigurationError when a value comes twice."""
+    """Raise ConfigurationError if a value is listed twice."""
     seen = set()
     for value in values:
         if value in seen:
-            raise ConfigurationError(f"{what} {value} comes twice", "list it once")
+            raise ConfigurationError(f"{what} {value} is listed twice", "list it once")
         seen.add(value)
 
 
 def check_zones(account: Account, zones: frozenset[str]) -> None:
-    """Raise ConfigurationError when an account names a zone that is none."""
+    """Raise ConfigurationError if a zone of an account is not allowed.
+
+    An account may only use the zones of the settings, and its targets only the
+    account's own zones.
+    """
     named = [*account.zones, *(target.zone for target in account.targets)]
     for zone in named:
         if zones and zone not in zones:
@@ -207,7 +213,7 @@
         if target.zone not in account.zones:
             raise ConfigurationError(
                 f"account {account.account_id}: target {target.target_id} is in "
-                f"zone {target.zone}, which is none of the account's zones",
+                f"zone {target.zone}, which is not a zone of the account",
                 f"add {target.zone} to its zones",
             )
 
@@ -215,21 +221,22 @@
 def merge_previous_targets(
     before: RenderedAccount | None, fresh: Account, revision: int, now: float
 ) -> RenderedAccount:
-    """Merge a fresh account with what its targets were.
+    """Merge a newly rendered account with the previous state of its targets.
 
-    The revisions of a target decide where its flows may live, on every host: a
-    re-render that moved them would send packets of live flows elsewhere.
+    The added and leaving revisions of a target determine on every host which flows
+    it may have. If rendering changed them, hosts would send packets of existing flows
+    to other targets.
 
     Parameters
     ----------
-    before : Rendered or None
-        The account so far, None if it is new.
+    before : RenderedAccount or None
+        The current account, None if it is new.
     fresh : Account
         The account as rendered from its parameters.
     revision : int
-        Revision at which the result will be in force.
+        Revision at which the result takes effect.
     now : float
-        Time from which the retention of removed targets runs.
+        Time at which the retention of removed targets starts.
     """
     before = before or RenderedAccount(Account(fresh.account_id), {})
     old = {target.target_id: target for target in before.account.targets}
@@ -253,13 +260,13 @@
 def merge_target(
     old: Target | None, fresh: Target, before: RenderedAccount, revision: int
 ) -> Target:
-    """Return a listed target with the revisions it had."""
+    """Return a newly rendered target with the revisions of the previous one."""
     if old is None:
         return replace(fresh, added_revision=revision)
     if old.tunnel != fresh.tunnel:
         raise ConfigurationError(
             f"account {fresh.account_id}: target {fresh.target_id} has the tunnel "
-            f"{old.tunnel} and flows may live there; {fresh.tunnel} is another server",
+            f"{old.tunnel} and may have flows there; {fresh.tunnel} is another server",
             "give the new server a target id of its own",
         )
     put_back = fresh.target_id in before.retain_until
@@ -270,18 +277,18 @@
 
 
 def mark_leaving(target: Target, revision: int) -> Target:
-    """Return a target that takes no new flows from ``revision`` on."""
+    """Return a target that accepts no new flows from ``revision`` on."""
     return target if target.leaving else replace(target, leaving_revision=revision)
 
 
 def drain(before: RenderedAccount, target_id: str, revision: int) -> RenderedAccount:
-    """Let a target leave; raises NotFoundError when there is none."""
+    """Mark a target as leaving; raise NotFoundError if there is none."""
     target = find_target(before, target_id)
     return replace_target(before, mark_leaving(target, revision))
 
 
 def undrain(before: RenderedAccount, target_id: str) -> RenderedAccount:
-    """Let a drained target take new flows again."""
+    """Return an account in which a drained target accepts new flows again."""
     target = find_target(before, target_id)
     if target_id in before.retain_until:
         raise ConfigurationError(
@@ -293,7 +300,7 @@
 
 
 def purge(before: RenderedAccount, target_id: str) -> RenderedAccount:
-    """Forget a target that was removed from the parameters."""
+    """Return an account without a target that was removed from the parameters."""
     target = find_target(before, target_id)
     if target_id not in before.retain_until:
         raise ConfigurationError(
@@ -306,7 +313,7 @@
 
 
 def find_target(rendered: RenderedAccount, target_id: str) -> Target:
-    """Return a target; raises NotFoundError when there is none."""
+    """Return a target; raise NotFoundError if there is none."""
     for target in rendered.account.targets:
         if target.target_id == target_id:
             return target
@@ -326,5 +333,5 @@
 
 
 def target_order(target: Target) -> str:
-    """Order targets by id."""
+    """Return the sort key of a target."""
     return target.target_id
--- a/citronspring/configuration/validation_errors.py
+++ b/citronspring/configuration/validation_errors.py
@@ -1,4 +1,4 @@
-"""Turn validation errors into errors that name key, value and remedy."""
+"""Convert validation errors to errors that name the key, the value and a remedy."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
     from pydantic import BaseModel, ValidationError
     from pydantic_core import ErrorDetails
 
-#: Longest piece of an operator's value that a message shows.
+#: Maximum length, in characters, of a value in an error message.
 MAX_PRINTED_LENGTH = 80
 
 
 def configuration_error(
     error: ValidationError, what: str, model: type[BaseModel] | None = None
 ) -> ConfigurationError:
-    """Make an error of the first thing that is wrong.
+    """Return the error for the first finding of a validation.
 
     Parameters
     ----------
     error : ValidationError
-        What the model found.
+        The findings.
     what : str
         The template or account, for the message.
     model : type of BaseModel, optional
-        Its fields are proposed in place of an unknown key.
+        Model whose fields are suggested in place of an unknown key.
     """
     first = sorted_errors(error)[0]
     message = f"{what}: {first_error_text(error)}"
@@ -35,11 +35,11 @@
 
 
 def first_error_text(error: ValidationError) -> str:
-    """Return key, complaint and value of the first thing that is wrong."""
+    """Return the key, reason and value of the first finding."""
     found = sorted_errors(error)
     first = found[0]
-    complaint = first["msg"].removeprefix("Value error, ")
-    text = f"{complaint}, got {escape(first['input'])}"
+    reason = first["msg"].removeprefix("Value error, ")
+    text = f"{reason}, got {escape(first['input'])}"
     if first["loc"]:
         key = ".".join(str(part) for part in first["loc"])
         text = f"{escape(key)}: {text}"
@@ -49,13 +49,13 @@
 
 
 def sorted_errors(error: ValidationError) -> list[ErrorDetails]:
-    """Return the findings, unknown keys first: they explain missing ones."""
+    """Return the findings, unknown keys first: they explain missing keys."""
     found = error.errors(include_url=False)
     return sorted(found, key=lambda finding: finding["type"] != "extra_forbidden")
 
 
 def remedy_of(first: Any, model: type[BaseModel] | None) -> str:
-    """Return what to do about one finding."""
+    """Return the remedy for a finding."""
     key = str(first["loc"][-1]) if first["loc"] else ""
     match first["type"]:
         case "extra_forbidden":
@@ -67,7 +67,7 @@
 
 
 def remedy_of_unknown(key: str, known: list[str]) -> str:
-    """Return the remedy for an unknown key, with the likeliest known one."""
+    """Return the remedy for an unknown key; suggest a similar known one if any."""
     close = get_close_matches(key, known, n=1)
     if close:
         return f"did you mean {close[0]}?"
@@ -75,7 +75,7 @@
 
 
 def escape(value: object) -> str:
-    """Return a short printable form of a value."""
+    """Return a value as printable ASCII text of limited length."""
     text = value if isinstance(value, str) else bounded_repr(value)
     printable = text.encode("unicode_escape").decode("ascii")
     if len(printable) <= MAX_PRINTED_LENGTH:
@@ -84,7 +84,7 @@
 
 
 def bounded_repr(value: object) -> str:
-    """Return a value as Python writes it, or its type when it is too large."""
+    """Return the ``repr`` of a value, or its type if it is too large or too deep."""
     try:
         return repr(value)
     except (ValueError, RecursionError):
--- a/tests/test_configuration/test_models.py
+++ b/tests/test_configuration/test_models.py
@@ -1,4 +1,4 @@
-"""What operators write is refused with key, value and remedy, or accepted."""
+"""Tests of the validation of operators' input, and of its error messages."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
         ({"targets": [target(1, tunnel="10.0.0.1:0")]}, "tunnel", ":0", "correct"),
         ({"targets": [target(1, slots=0)]}, "targets.0.slots", "got 0", "correct"),
         ({"targets": [target(1, port=1)]}, "targets.0.port", "got 1", "port"),
-        ({"targets": [target(1), target(1)]}, "target", "t1 comes twice", "once"),
+        ({"targets": [target(1), target(1)]}, "target", "t1 is listed twice", "once"),
         ({"targets": [target(1, zone="x")]}, "zone", "zone x", "pakhuis"),
         (
             {"zones": ["zetterij"], "targets": [target(1)]},
@@ -63,7 +63,7 @@
         (
             {"targets": [target(1), target(2, tunnel="10.0.0.1:6081")]},
             "tunnel",
-            "10.0.0.1 comes twice",
+            "10.0.0.1 is listed twice",
             "once",
         ),
     ],
@@ -98,10 +98,10 @@
 
 
 def test_a_value_that_does_not_read_back_is_refused():
-    """A number that JSON cannot hold reaches a shard, whatever checks came before.
+    """A number that JSON cannot represent passes all earlier checks.
 
-    Once committed, no process could read the shard again: all its accounts
-    would be stuck. Reading it back before the write refuses this change alone.
+    Once committed, no process could read the shard, and none of its accounts could be
+    changed any more. Decoding the value before the write refuses this change alone.
     """
     with pytest.raises(ConfigurationError, match="stored"):
         encode_checked(TypeAdapter(float), math.nan)
@@ -141,7 +141,7 @@
 
 
 def commit_anything(change):
-    """Commit a change: only typed errors, and what is committed reads back."""
+    """Commit a change; only typed errors are allowed, and reading must work after."""
     platform = make_platform()
     with suppress(CitronspringError):
         call(make_store(platform).commit(change, 0.0))
--- a/tests/test_configuration/test_moves.py
+++ b/tests/test_configuration/test_moves.py
@@ -1,4 +1,4 @@
-"""Targets that leave, and addresses that move between accounts."""
+"""Tests of leaving targets, and of moving addresses between accounts."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def revisions(store):
-    """Return added and leaving revision of each target, by its id."""
+    """Return the added and the leaving revision of each target, by id."""
     (account,) = call(store.read_snapshot()).accounts
     return {
         t.target_id: (t.added_revision, t.leaving_revision) for t in account.targets
@@ -50,10 +50,10 @@
 
 
 def test_targets_keep_their_revisions(store):
-    """Targets are drained, removed and put back while flows live on them.
+    """Targets with flows are drained, removed and put back.
 
-    Their revisions tell every host where a flow may live. A re-render that set
-    them anew would send packets of live flows to other targets.
+    Their revisions determine on every host which flows a target may have. If rendering
+    reset them, packets of existing flows would go to other targets.
     """
     call(store.commit(put("1-a", targets=[target(1), target(2)]), 0.0))
     call(store.commit(target_change(DrainTarget, "2-b", 1), 0.0))
@@ -95,26 +95,26 @@
 
 
 def test_a_target_id_keeps_its_tunnel(store):
-    """An operator gives a target id to another server.
+    """An operator reuses a target id for another server.
 
-    Packets of flows on the old server would go to the new one, so it is refused;
-    the same goes for a new id with the tunnel of a leaving target.
+    Packets of flows on the old server would go to the new one, so the change is
+    refused. So is a new id with the tunnel of a leaving target.
     """
     call(store.commit(put("1-a", targets=[target(1)]), 0.0))
     moved = target(1, tunnel="10.0.0.9:6080")
     with pytest.raises(ConfigurationError, match="target id of its own"):
         call(store.commit(put("2-b", targets=[moved]), 0.0))
     renamed = target(1, target_id="t9")
-    with pytest.raises(ConfigurationError, match="10.0.0.1 comes twice"):
+    with pytest.raises(ConfigurationError, match="10.0.0.1 is listed twice"):
         call(store.commit(put("2-b", targets=[renamed]), 0.0))
 
 
 def test_a_service_address_moves_in_two_steps(store):
-    """A service address is taken from one account and given to another.
+    """A service address is removed from one account and added to another.
 
-    Hosts of a zone that has not heard of the first step still send its packets
-    to the first account's targets. The operator is told which zones to wait
-    for, and the move is allowed when the last one has confirmed.
+    Hosts of a zone that has not received the removal still send packets to the first
+    account's targets. The error names the zones that have not confirmed it, and the
+    move is allowed after the last one has.
     """
     wanted = put("2-b", "archivio")
     call(store.commit(put("1-a"), 0.0))
@@ -134,10 +134,10 @@
 
 
 def test_the_tunnel_of_a_leaving_target_cannot_move(store):
-    """A target is removed from one account and its server given to another.
+    """A target is removed from one account, and its server is added to another.
 
-    Flows of the first account may live on it. It moves only after it was purged
-    and all zones confirmed the purge.
+    The server may still have flows of the first account. It can move only after the
+    target was purged and all zones have confirmed the purge.
     """
     call(store.commit(put("1-a", targets=[target(1)]), 0.0))
     call(store.commit(put("2-b"), 0.0))
@@ -155,10 +155,10 @@
 
 
 def test_addresses_of_a_deleted_account_need_confirmation(store):
-    """An account is deleted and another one takes its address at once.
+    """An account is deleted, and another one adds its address at once.
 
-    Lagging hosts still serve the deleted account there, so the move waits. The
-    account itself may come back at any time.
+    Lagging hosts still serve the deleted account on the address, so the move is
+    refused until it is confirmed. The account itself can be recreated at any time.
     """
     call(store.commit(put("1-a"), 0.0))
     delete = DeleteAccount(change_id="2-b", author="a", account_id="bundelpers")
@@ -176,10 +176,10 @@
     ],
 )
 def test_two_accounts_share_no_target(store, changes, refused):
-    """A second account lists a target at another port, or under the same id.
+    """A second account lists a target on another port, or with the same id.
 
-    Hosts take an answer's account from the tunnel's IP address, and share a
-    target's load under its id: the accounts' packets would be mixed.
+    Hosts identify the account of an answer by the tunnel's IP address, and share the
+    load of a target by its id, so that packets of the accounts would be confused.
     """
     call(store.commit(put("1-a", targets=[target(1)]), 0.0))
     wanted = put("2-b", "archivio", ip="192.0.2.2", targets=[target(1, **changes)])
@@ -188,9 +188,9 @@
 
 
 def test_concurrent_commits_cannot_give_one_address_to_two_accounts():
-    """Both commits are valid on the head they read, and only one can win.
+    """Both commits are valid on the head that they read, but only one can succeed.
 
-    The second is checked again on the new head and refused by name.
+    The second one is checked again on the new head and refused.
     """
     platform = make_platform()
     anna = SteppedCall(make_store(platform).commit(put("1-a"), 0.0))
@@ -221,10 +221,10 @@
 
 
 def test_zone_confirmation_never_decreases():
-    """A host that lags, or reads a stale confirmation, confirms less.
+    """A host that lags, or reads a stale confirmation, confirms a lower revision.
 
-    The zone's revision stays. Were it lowered, a move that was allowed would be
-    refused, and an operator would wait for a zone that is long done.
+    The confirmed revision stays. If it decreased, a move that was already allowed
+    would be refused again.
     """
     platform = make_platform()
     store = make_store(platform)
