--- a/citronspring/configuration/__init__.py
+++ b/citronspring/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Templates, client accounts and the commits that change them."""
+"""Templates, client accounts, and the commits that change them."""
--- a/citronspring/configuration/addresses.py
+++ b/citronspring/configuration/addresses.py
@@ -1,4 +1,4 @@
-"""The addresses and target ids that belong to one client account at a time."""
+"""Addresses and target ids that only one client account may have at a time."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 
 
 def addresses_of(account: Account) -> frozenset[str]:
-    """Return what no other account may have, as text.
+    """Return, as text, the addresses and target ids that no other account may have.
 
-    Hosts tell whose answer a packet is by the IP address of its tunnel alone, as
-    a target's kernel chooses the port, and share a target's state under its id.
-    In two accounts at once, either would lead to another account's flows.
+    Hosts identify the account of a target's answer by the IP address of the tunnel
+    alone, because the target's kernel chooses the port, and they share the state of a
+    target by its id. If two accounts had the same one, packets would be matched with
+    flows of the wrong account.
     """
     services = {
         f"service address {address.protocol.name.lower()} {address.ip}:{address.port}"
--- a/citronspring/configuration/catalog.py
+++ b/citronspring/configuration/catalog.py
@@ -1,4 +1,4 @@
-"""The whole configuration at one version of the head."""
+"""The complete configuration at one version of the head."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Catalog:
-    """A head with the shards and templates it names."""
+    """A head with the shards and templates that it refers to."""
 
-    #: Version under which the platform holds the head.
+    #: Version of the head in the platform.
     version: int
     head: Head
     shards: tuple[Shard, ...]
@@ -27,12 +27,12 @@
 
     @classmethod
     def empty(cls) -> Catalog:
-        """Return the catalog from which every configuration starts."""
+        """Return the catalog of an empty configuration."""
         head = Head()
         return cls(ABSENT, head, (Shard(),) * len(head.shards), Templates())
 
     def entry(self, account_id: str) -> AccountEntry | None:
-        """Return an account's entry, None when there is none."""
+        """Return the entry of an account, None if there is none."""
         shard = self.shards[shard_of(account_id, len(self.shards))]
         return shard.accounts.get(account_id)
 
@@ -42,12 +42,12 @@
             yield from shard.accounts.items()
 
     def releases(self) -> Iterator[AddressRelease]:
-        """Yield every address that left an account."""
+        """Yield every address that was removed from an account."""
         for shard in self.shards:
             yield from shard.releases
 
     def snapshot(self) -> Snapshot:
-        """Return every account as rendered, in the order of their ids."""
+        """Return the rendered accounts, ordered by id."""
         entries = sorted(self.entries(), key=lambda item: item[0])
         accounts = tuple(entry.rendered.account for _, entry in entries)
         return Snapshot(self.head.revision, accounts)
--- a/citronspring/configuration/moves.py
+++ b/citronspring/configuration/moves.py
@@ -1,8 +1,8 @@
 """Move a service address or tunnel from one account to another, in two steps.
 
-An address leaves the first account, every listed zone confirms a revision in
-which it had left, and only then may another account take it. Hosts of a zone
-that has not confirmed may still forward its packets for the first account.
+First the address is removed from its account. Another account may use it only after
+every listed zone has confirmed that revision or a later one: hosts of a zone that has
+not confirmed it may still forward packets for the first account.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 
     from citronspring.configuration.catalog import Catalog
     from citronspring.configuration.shards import AccountEntry
-#: The entry of each account a commit changes, None where it deletes one.
+#: The entry of each account that a commit changes, None if it deletes the account.
 ChangedEntries = dict[str, "AccountEntry | None"]
 
 
 def addresses_of_entry(entry: AccountEntry | None) -> frozenset[str]:
-    """Return the addresses of an entry, none when there is no entry."""
+    """Return the addresses of an entry; an empty set if there is no entry."""
     return addresses_of(entry.rendered.account) if entry else frozenset()
 
 
 def newly_taken_addresses(
     catalog: Catalog, changed_entries: ChangedEntries
 ) -> dict[str, str]:
-    """Return the account id that newly takes each address.
+    """Return the account id by address, for addresses that a commit adds.
 
-    Raises MoveRefusedError when two of the changed accounts take one address.
+    Raises MoveRefusedError if two of the changed accounts add the same address.
     """
     taken: dict[str, str] = {}
     for account_id, entry in changed_entries.items():
@@ -47,7 +47,7 @@
 def refuse_used(
     catalog: Catalog, changed_entries: ChangedEntries, taken: Mapping[str, str]
 ) -> None:
-    """Raise MoveRefusedError when an address is still in another account."""
+    """Raise MoveRefusedError if another account still has an address."""
     for shard in catalog.shards:
         for address in shard.accounts_by_address.keys() & taken.keys():
             holder = shard.accounts_by_address[address]
@@ -59,7 +59,7 @@
 def address_in_use_error(
     address: str, wanted_by: str, held_by: str
 ) -> MoveRefusedError:
-    """Make the error of an address that two accounts want."""
+    """Return the error for an address that another account has."""
     return MoveRefusedError(
         f"account {wanted_by}: {address} belongs to account {held_by}",
         f"remove it from {held_by} first; a removed target keeps its tunnel until "
@@ -70,16 +70,16 @@
 def new_releases(
     catalog: Catalog, changed_entries: ChangedEntries, revisions: Mapping[str, int]
 ) -> list[AddressRelease]:
-    """Return the addresses that leave the changed accounts.
+    """Return the addresses that are removed from the changed accounts.
 
     Parameters
     ----------
     catalog : Catalog
-        The configuration before.
+        The configuration before the commit.
     changed_entries : dict
-        The entries after.
+        The entries after the commit.
     revisions : mapping of str to int
-        Revision from which the entry of each changed account is in force.
+        Revision from which the entry of each changed account is effective.
     """
     releases = []
     for account_id, entry in changed_entries.items():
@@ -92,7 +92,7 @@
 def blocking_releases(
     taken: Mapping[str, str], releases: Iterable[AddressRelease]
 ) -> list[AddressRelease]:
-    """Return the releases that zones must confirm before the commit."""
+    """Return the releases that all zones must confirm before the commit."""
     return [
         release
         for release in releases
@@ -103,12 +103,12 @@
 def refuse_unconfirmed(
     releases: Iterable[AddressRelease], confirmed: Mapping[str, int]
 ) -> None:
-    """Raise MoveRefusedError when a zone may still use an address as before.
+    """Raise MoveRefusedError if a zone may still use an address for its old account.
 
     Parameters
     ----------
-    releases : iterable of Release
-        Addresses that the commit takes.
+    releases : iterable of AddressRelease
+        Releases of the addresses that the commit adds.
     confirmed : mapping of str to int
         Newest confirmed revision of every listed zone.
     """
@@ -121,6 +121,6 @@
                 f"{release.address} left account {release.account_id} at revision "
                 f"{release.revision}, which has not been confirmed by zone "
                 f"{', '.join(waiting)}",
-                "try again when these zones have confirmed it",
+                "try again after these zones have confirmed it",
                 zones=waiting,
             )
--- a/citronspring/configuration/plan.py
+++ b/citronspring/configuration/plan.py
@@ -1,4 +1,4 @@
-"""Work out what a change does to a catalog; reads and writes nothing."""
+"""Compute the effect of a change on a catalog, without any I/O."""
 
 from __future__ import annotations
 
@@ -49,32 +49,33 @@
     from citronspring.configuration.changes import AnyChange
     from citronspring.configuration.rendering import RenderedAccount
 
-#: Account id of the record of a change that touched no account.
+#: Account id in the record of a change that affects no account.
 NO_ACCOUNT = ""
 
 
 @dataclass(slots=True)
 class Draft:
-    """What a commit is going to write."""
+    """The changes that a commit will write."""
 
     catalog: Catalog
     change: AnyChange
     now: float
-    #: Zones the operators listed; empty to allow any.
+    #: Zones that the settings list; empty to allow any.
     zones: frozenset[str]
-    #: Entry of each changed account, None where it is deleted.
+    #: Entry of each changed account, None if it is deleted.
     changed_entries: dict[str, AccountEntry | None] = field(default_factory=dict)
-    #: Template that is put, if one is.
+    #: Created or replaced template, if any.
     template: TemplateEntry | None = None
-    #: One for each revision of the commit.
+    #: One record for each revision of the commit.
     records: list[ChangeRecord] = field(default_factory=list)
 
     @property
     def base_revision(self) -> int:
-        """Revision that the commit begins after.
+        """Revision before the first one of the commit.
 
-        The first commit after the platform came back from an older copy skips what may
-        have been given out before: hosts would take its changes for those they have.
+        The first commit after a restore from a backup skips the revisions that may have
+        been assigned before it. If it reused them, hosts would mistake its changes for
+        the lost ones that they already have.
         """
         head = self.catalog.head.revision
         epoch = epoch_of(self.catalog.version)
@@ -87,11 +88,11 @@
 
     @property
     def revision(self) -> int:
-        """Revision of the whole commit."""
+        """Last revision of the commit so far."""
         return self.base_revision + len(self.records)
 
     def stage(self, account_id: str, entry: AccountEntry | None) -> None:
-        """Add one changed account and its record."""
+        """Add a changed account and its record."""
         account = entry.rendered.account if entry else None
         record = ChangeRecord(
             self.next_revision, self.change.change_id, account_id, account
@@ -100,7 +101,7 @@
         self.records.append(record)
 
     def stage_empty_record(self) -> None:
-        """Add the record of a change that touches no account."""
+        """Add the record of a change that affects no account."""
         record = ChangeRecord(
             self.next_revision, self.change.change_id, NO_ACCOUNT, None
         )
@@ -112,8 +113,8 @@
 ) -> Draft:
     """Return the draft of a change.
 
-    Raises ConfigurationError, NotFoundError or ConflictError; addresses of
-    other accounts are not looked at yet.
+    Raises ConfigurationError, NotFoundError or ConflictError. Conflicts with the
+    addresses of other accounts are not checked here.
     """
     draft = Draft(catalog, change, now, zones)
     check_if_revision(catalog, change)
@@ -151,7 +152,7 @@
 
 
 def put_template(draft: Draft, change: PutTemplate) -> None:
-    """Create or replace a template and render its accounts again."""
+    """Create or replace a template, and render its accounts again."""
     template = TemplateModel.from_config(change.template)
     check_references(template)
     for account_id, entry in sorted_entries(draft.catalog):
@@ -167,7 +168,7 @@
 
 
 def sorted_entries(catalog: Catalog) -> list[tuple[str, AccountEntry]]:
-    """Return the accounts in the order of their ids."""
+    """Return the accounts ordered by id."""
     return sorted(catalog.entries(), key=lambda item: item[0])
 
 
@@ -178,7 +179,7 @@
     template: TemplateModel,
     parameters: Mapping[str, Any],
 ) -> None:
-    """Render an account and stage it, unless a template left it as it was."""
+    """Render an account and stage it, unless a template change does not affect it."""
     fresh = render(template, account_id, parameters)
     check_zones(fresh, draft.zones)
     rendered_before = before.rendered if before else None
@@ -195,14 +196,14 @@
 def stage_rendered(
     draft: Draft, account_id: str, before: AccountEntry, rendered: RenderedAccount
 ) -> None:
-    """Stage an account whose targets changed and whose definition did not."""
+    """Stage an account whose targets have changed but whose definition has not."""
     stage_entry(draft, account_id, before, replace(before, rendered=rendered))
 
 
 def stage_entry(
     draft: Draft, account_id: str, before: AccountEntry | None, after: AccountEntry
 ) -> None:
-    """Stage an account with its history."""
+    """Stage an account with this change added to its history."""
     lines = account_difference(before, after)
     if isinstance(draft.change, PutTemplate):
         lines = (f"template {after.template} changed", *lines)
@@ -214,7 +215,7 @@
 def next_history(
     draft: Draft, older: tuple[HistoryEntry, ...], difference: tuple[str, ...]
 ) -> tuple[HistoryEntry, ...]:
-    """Return a history with this change as the newest."""
+    """Return a history with this change as the newest entry."""
     change = draft.change
     newest = HistoryEntry(
         draft.next_revision, change.change_id, change.author, difference
@@ -225,7 +226,7 @@
 def next_template(
     draft: Draft, old: TemplateEntry | None, template: TemplateModel
 ) -> TemplateEntry:
-    """Return a template with this change in its history."""
+    """Return a template entry with this change added to its history."""
     lines = ["created"]
     if old is not None:
         lines = mapping_difference(old.template.model_dump(), template.model_dump())
@@ -238,7 +239,7 @@
 
 
 def require_entry(catalog: Catalog, account_id: str) -> AccountEntry:
-    """Return an account's entry; raises NotFoundError."""
+    """Return the entry of an account; raise NotFoundError if there is none."""
     entry = catalog.entry(account_id)
     if entry is None:
         raise NotFoundError(
@@ -249,7 +250,7 @@
 
 
 def require_template(catalog: Catalog, name: str) -> TemplateEntry:
-    """Return a template; raises NotFoundError."""
+    """Return the entry of a template; raise NotFoundError if there is none."""
     entry = catalog.templates.templates.get(name)
     if entry is None:
         raise NotFoundError(
@@ -259,7 +260,7 @@
 
 
 def subject_of(change: AnyChange) -> str:
-    """Return what a change is about, as the head remembers it."""
+    """Return the subject of a change as recorded in the head."""
     match change:
         case PutTemplate(template=template):
             return f"template:{template_name(template)}"
@@ -268,13 +269,13 @@
 
 
 def template_name(template: object) -> str:
-    """Return the name in a template that may not be valid."""
+    """Return the name in an unvalidated template, empty if it has none."""
     name = template.get("name") if hasattr(template, "get") else None
     return name if isinstance(name, str) else ""
 
 
 def current_history(catalog: Catalog, change: AnyChange) -> tuple[HistoryEntry, ...]:
-    """Return the history of what a change is about, empty if there is nothing."""
+    """Return the history of a change's account or template; it may be empty."""
     entry: AccountEntry | TemplateEntry | None
     match change:
         case PutTemplate(template=template):
@@ -285,25 +286,26 @@
 
 
 def current_revision(catalog: Catalog, change: AnyChange) -> int:
-    """Return the last revision of what a change is about, 0 if there is nothing."""
+    """Return the revision of a change's account or template, 0 if it does not exist."""
     history = current_history(catalog, change)
     return history[0].revision if history else 0
 
 
 def last_changed_revision(catalog: Catalog, change: AnyChange) -> int:
-    """Return the last revision that touched what a change is about, its removal too.
+    """Return the last revision of a change's account or template, or of its deletion.
 
-    Of an account that does not exist, the current revision is 0 before it was made
-    and after it was deleted. A commit that began on a stale read from before would
-    not see that another operator has deleted it meanwhile, and would undo that.
+    The current revision of an account is 0 both before it is created and after it is
+    deleted. By that alone, a commit that started from a stale read from before the
+    creation would miss that another operator has deleted the account since, and would
+    undo the deletion.
     """
     revision = current_revision(catalog, change)
-    gone = None if revision else catalog.head.last_change_of(subject_of(change))
-    return gone.revision if gone is not None else revision
+    deletion = None if revision else catalog.head.last_change_of(subject_of(change))
+    return deletion.revision if deletion is not None else revision
 
 
 def check_if_revision(catalog: Catalog, change: AnyChange) -> None:
-    """Raise ConflictError when the operator had seen another revision."""
+    """Raise ConflictError if the operator has seen another revision."""
     if change.if_revision is None:
         return
     if current_revision(catalog, change) != change.if_revision:
@@ -311,13 +313,13 @@
 
 
 def conflict_error(catalog: Catalog, change: AnyChange) -> ConflictError:
-    """Make the error that shows the other operator's change."""
+    """Return the error that shows the other operator's change."""
     subject = subject_of(change)
     history = current_history(catalog, change)
-    remedy = "look at the other change and make yours again on top of it"
+    remedy = "review the other change, and submit yours again on top of it"
     if history:
         other = history[0]
-        text = "; ".join(other.difference) or "nothing differs"
+        text = "; ".join(other.difference) or "no differences"
         return ConflictError(
             f"{escape(subject)} was changed by {other.author} at revision "
             f"{other.revision} (change {other.change_id}): {text}",
@@ -326,14 +328,14 @@
             revision=other.revision,
             difference=other.difference,
         )
-    gone = catalog.head.last_change_of(subject)
-    if gone is None:
+    deletion = catalog.head.last_change_of(subject)
+    if deletion is None:
         return ConflictError(f"{escape(subject)} does not exist", remedy)
     return ConflictError(
-        f"{escape(subject)} was deleted by {gone.author} at revision {gone.revision} "
-        f"(change {gone.change_id})",
+        f"{escape(subject)} was deleted by {deletion.author} at revision "
+        f"{deletion.revision} (change {deletion.change_id})",
         remedy,
-        change_id=gone.change_id,
-        revision=gone.revision,
+        change_id=deletion.change_id,
+        revision=deletion.revision,
         difference=("deleted",),
     )
--- a/citronspring/configuration/prepare.py
+++ b/citronspring/configuration/prepare.py
@@ -1,4 +1,4 @@
-"""Turn a draft into the values a commit writes."""
+"""Encode a draft into the values that a commit writes."""
 
 from __future__ import annotations
 
@@ -37,31 +37,33 @@
 
 @dataclass(frozen=True, slots=True)
 class PreparedCommit:
-    """The values of one commit."""
+    """The values that a commit writes."""
 
-    #: The catalog as it will be; its version is that of the head before.
+    #: The catalog after the commit; its version is that of the previous head.
     catalog: Catalog
     #: Immutable values by digest.
     values: dict[str, bytes]
     head_value: bytes
-    #: Digests that no head within reach names any more.
+    #: Digests that no head refers to any more and that are no longer kept for readers
+    #: of older heads.
     expired_digests: tuple[str, ...]
 
 
 def prepare(
     draft: Draft, orphans: Iterable[str], confirmed: Mapping[str, int]
 ) -> PreparedCommit:
-    """Return the values of a commit.
+    """Return the values that a commit writes.
 
     Parameters
     ----------
     draft : Draft
-        What the change does.
+        The effect of the change.
     orphans : iterable of str
-        Digests that earlier attempts of this commit wrote in vain.
+        Digests of values that earlier attempts of this commit wrote and that no head
+        refers to.
     confirmed : mapping of str to int
-        Newest confirmed revision of each listed zone; empty when it was not
-        needed. Releases that every zone confirmed are forgotten.
+        Newest confirmed revision of each listed zone; empty if it was not needed.
+        Releases that every zone has confirmed are removed.
     """
     catalog = draft.catalog
     written_by = f"{draft.revision}/{draft.change.change_id}"
@@ -95,7 +97,7 @@
 def changed_shards(
     draft: Draft, written_by: str, confirmed: Mapping[str, int]
 ) -> dict[int, Shard]:
-    """Return the shards of the changed accounts, by number."""
+    """Return the new shards of the changed accounts, by number."""
     catalog = draft.catalog
     accounts: dict[int, dict[str, AccountEntry]] = {}
     for account_id, entry in draft.changed_entries.items():
@@ -114,7 +116,7 @@
 def changed_releases(
     draft: Draft, indexes: Iterable[int], confirmed: Mapping[str, int]
 ) -> dict[int, tuple[AddressRelease, ...]]:
-    """Return the releases of the shards that are written."""
+    """Return the releases of the changed shards, by shard number."""
     catalog = draft.catalog
     revisions = {record.account_id: record.revision for record in draft.records}
     fresh = new_releases(catalog, draft.changed_entries, revisions)
@@ -132,7 +134,7 @@
 
 
 def changed_templates(draft: Draft, written_by: str) -> Templates:
-    """Return the templates with the one that is put."""
+    """Return the templates, including the created or replaced one."""
     entry = draft.template
     assert entry is not None
     templates = {**draft.catalog.templates.templates, entry.template.name: entry}
@@ -140,7 +142,7 @@
 
 
 def next_head(draft: Draft) -> Head:
-    """Return the head with the change and its records."""
+    """Return the head with the change and its records added."""
     head = draft.catalog.head
     change = draft.change
     committed = CommittedChange(
@@ -150,8 +152,8 @@
     changes_floor = head.changes_floor
     if len(changes) > CHANGES_KEPT:
         changes_floor = changes[-CHANGES_KEPT - 1].revision
-    follows = draft.base_revision == head.revision
-    known = head.records if follows else ()
+    contiguous = draft.base_revision == head.revision
+    known = head.records if contiguous else ()
     records = newest_records((*known, *draft.records))
     return replace(
         head,
@@ -165,7 +167,7 @@
 
 
 def newest_records(records: tuple[ChangeRecord, ...]) -> tuple[ChangeRecord, ...]:
-    """Return as many of the newest records as the head has room for."""
+    """Return as many of the newest records as fit into the head."""
     kept: list[ChangeRecord] = []
     room = RECORDS_BYTES
     for record in reversed(records[-RECORDS_KEPT:]):
--- a/citronspring/configuration/reader.py
+++ b/citronspring/configuration/reader.py
@@ -1,4 +1,4 @@
-"""Read the head and its shards, and never go back to an older one."""
+"""Read the head and its shards; an older head never replaces a newer one."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
     from citronspring.key_value.port import Platform, StoredValue
 
-#: Reads after which stale answers count as an outage.
+#: Number of stale reads in a row that count as an outage.
 READ_ATTEMPTS = 8
 
 T = TypeVar("T")
@@ -39,24 +39,24 @@
 
 @dataclass(slots=True)
 class CatalogReader:
-    """The newest head known, and the newest catalog read.
+    """The newest head that this process knows, and the newest catalog it has read.
 
-    Reads can be stale. A head replaces the known one only when both its version
-    and its revision are higher, so that no answer brings an old configuration
-    back.
+    Reads can be stale. A head replaces the known one only if its version is higher; one
+    with a lower revision, or one that lacks known changes, is refused. So no read ever
+    brings back an old configuration.
     """
 
     platform: Platform
     version: int = ABSENT
     head: Head = field(default_factory=Head)
     catalog: Catalog = field(default_factory=Catalog.empty)
-    #: Shards read for a catalog that is not whole yet, by digest. An attempt that ran
-    #: out of time began anew for ever where 128 reads take longer than it has; a
-    #: shard never changes under its digest, so that the next one can go on.
+    #: Shards, by digest, of a catalog that is not completely read yet. They are kept
+    #: for the next attempt: if 128 reads take longer than the timeout, starting over
+    #: each time would never finish. A shard never changes under its digest.
     partial_shards: dict[str, Shard] = field(default_factory=dict)
 
     async def refresh(self) -> Head:
-        """Read the head and return the newest one known."""
+        """Read the head, and return the newest one known."""
         stored = await self.platform.get(HEAD_KEY)
         if stored is not None:
             self.update_head(stored)
@@ -65,7 +65,7 @@
     async def refresh_past(self, version: int) -> None:
         """Read the head until it is newer than ``version``.
 
-        Raises PlatformUnavailableError when all answers are older.
+        Raises PlatformUnavailableError if all reads return older versions.
         """
         for _ in range(READ_ATTEMPTS):
             await self.refresh()
@@ -74,7 +74,7 @@
         raise stale_platform_error()
 
     async def watch(self, after_revision: int) -> int:
-        """Wait for a head above a revision and return its revision."""
+        """Wait for a head above a revision, and return its revision."""
         while self.head.revision <= after_revision:
             stored = await self.platform.watch(HEAD_KEY, self.version)
             if stored.version <= self.version:
@@ -83,7 +83,7 @@
         return self.head.revision
 
     def update_head(self, stored: StoredValue) -> None:
-        """Make a stored head the known one, if it is newer."""
+        """Replace the known head by a stored one, if that is newer."""
         if stored.version <= self.version:
             return
         head = decode(HEAD, stored.value)
@@ -95,32 +95,33 @@
             raise StoredValueError(
                 f"the platform's head went from revision {self.head.revision} back "
                 f"to {head.revision}",
-                "restore the key-value service from a newer copy",
+                "restore the key-value service from a newer backup",
             )
         self.version, self.head = stored.version, head
 
     @property
     def is_complete(self) -> bool:
-        """Whether all that the known head names is in memory."""
+        """Whether the whole catalog of the known head is in memory."""
         return self.version > ABSENT and self.catalog.version == self.version
 
     def update_catalog(self, catalog: Catalog) -> None:
-        """Make a catalog the known one, if it is newer."""
+        """Replace the known head and catalog, if the given catalog is newer."""
         if catalog.version > self.version:
             self.version, self.head = catalog.version, catalog.head
         if catalog.version > self.catalog.version:
             self.catalog = catalog
 
     async def read_catalog(self, *, keep: bool = True) -> Catalog:
-        """Read what the known head names and the known catalog has not.
+        """Return the catalog of the newest head.
 
-        A shard that is gone was replaced after this head: read a newer one.
+        Only the shards that the known catalog lacks are read. If a shard has been
+        deleted, a newer head has replaced it, so the head is read again.
 
         Parameters
         ----------
         keep : bool
-            Whether to keep the catalog in memory, so that the next one needs
-            only the shards that changed.
+            Whether to keep the catalog in memory, so that the next call reads only
+            the shards that have changed.
         """
         for _ in range(READ_ATTEMPTS):
             catalog = await self.read_shards(self.version, self.head)
@@ -132,14 +133,17 @@
         raise stale_platform_error()
 
     async def read_shards(self, version: int, head: Head) -> Catalog | None:
-        """Return the catalog of one head; None when a shard is gone."""
+        """Return the catalog of a head, None if a shard has been deleted."""
         known = self.catalog
         if known.version == version:
             return known
-        have = dict(zip(known.head.shards, known.shards, strict=True))
-        have.update(self.partial_shards)
-        # A name of its own: two reads may be under way, and one of them ends first.
-        found = {digest: have[digest] for digest in head.shards if digest in have}
+        available = dict(zip(known.head.shards, known.shards, strict=True))
+        available.update(self.partial_shards)
+        # A local variable is needed: two reads may run concurrently, and the one that
+        # ends first resets the attribute.
+        found = {
+            digest: available[digest] for digest in head.shards if digest in available
+        }
         self.partial_shards = found
         for digest in head.shards:
             if digest in found:
@@ -160,7 +164,10 @@
     async def read_value(
         self, adapter: TypeAdapter[T], digest: str, empty: T
     ) -> T | None:
-        """Read an immutable value; ``empty`` for no digest, None if it is gone."""
+        """Read an immutable value.
+
+        Returns ``empty`` if the digest is empty, None if the value has been deleted.
+        """
         if not digest:
             return empty
         stored = await self.platform.get(shard_key(digest))
@@ -168,17 +175,17 @@
             return None
         if digest_of(stored.value) != digest:
             raise StoredValueError(
-                f"shard {digest} does not hold what its name says",
-                "restore the key-value service from an undamaged copy",
+                f"the content of shard {digest} does not match its digest",
+                "restore the key-value service from an undamaged backup",
             )
         return decode(adapter, stored.value)
 
 
 def missing_changes(known: Head, head: Head) -> list[str]:
-    """Return the ids of changes of a known head that another one lacks.
+    """Return the ids of the changes in a known head that another one lacks.
 
-    Its revision does not tell: a platform that has come back from an older copy
-    gives revisions to other changes than before.
+    Comparing revisions is not enough: after a restore from a backup the platform
+    assigns revisions again, to other changes.
     """
     return [
         change.change_id
@@ -189,17 +196,18 @@
 
 
 def changes_lost_error(lost: list[str]) -> ChangesLostError:
-    """Make the error of a platform that lacks accepted changes."""
+    """Return the error for a platform that has lost accepted changes."""
     return ChangesLostError(
-        "the platform has come back from an older copy, without the accepted "
-        f"changes {', '.join(lost)}",
-        "the process that made them writes them again with its next call; if it "
-        "is gone, or others were made since, make them anew and restart the hosts",
+        "the platform was restored from a backup that lacks the accepted changes "
+        f"{', '.join(lost)}",
+        "the process that committed them rewrites them with its next call; if it no "
+        "longer runs, or other changes were committed since, submit them again and "
+        "restart the hosts",
     )
 
 
 def stale_platform_error() -> PlatformUnavailableError:
-    """Make the error of a platform that answers with old values only."""
+    """Return the error for a platform that returns only old values."""
     return PlatformUnavailableError(
-        "the platform answers with old values only", "try again in a moment"
+        "the platform returns only old values", "try again in a moment"
     )
--- a/citronspring/configuration/runner.py
+++ b/citronspring/configuration/runner.py
@@ -1,4 +1,4 @@
-"""Where the store runs what takes long: in a worker thread, or in place."""
+"""How the store runs long computations: in a worker thread, or in the caller's."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class Runner(Protocol):
-    """Runs a function; ``anyio.to_thread.run_sync`` is one."""
+    """Runs a function, as ``anyio.to_thread.run_sync`` does."""
 
     def __call__(self, function: Callable[..., T], /, *args: Any) -> Awaitable[T]:
-        """Run a function and return its result."""
+        """Run a function, and return its result."""
 
 
 async def run_in_place(function: Callable[..., T], /, *args: Any) -> T:
-    """Run a function at once, for callers without an event loop."""
+    """Run a function in the calling thread, for callers without an event loop."""
     return function(*args)
--- a/citronspring/configuration/shards.py
+++ b/citronspring/configuration/shards.py
@@ -1,4 +1,4 @@
-"""The values kept in the platform: one head and immutable shards."""
+"""Values stored in the platform: a head, and immutable shards."""
 
 from __future__ import annotations
 
@@ -18,29 +18,31 @@
 from citronspring.errors import ConfigurationError, StoredValueError
 from citronspring.key_value.port import MAX_VALUE_BYTES
 
-#: Key of the one value that is compared and swapped.
+#: Key of the head, the only value that is replaced by compare-and-swap.
 HEAD_KEY = "head"
 
-#: Shards of a configuration that starts empty; later the head's own count holds.
+#: Number of shards of a new configuration; an existing one keeps the number in its
+#: head.
 SHARD_COUNT = 128
 
-#: Change ids the head remembers.
+#: Number of change ids that the head records.
 CHANGES_KEPT = 400
 
-#: Most recent change records in the head, and their bytes as JSON.
+#: Maximum number of change records in the head, and their maximum size as JSON in
+#: bytes.
 RECORDS_KEPT = 64
 RECORDS_BYTES = 65_536
 
-#: Replaced shards kept for readers that still hold an older head.
+#: Number of replaced shards that are kept for readers with an older head.
 RETIRED_KEPT = 32
 
-#: Entries of the history of one account or template.
+#: Maximum number of entries in the history of an account or template.
 HISTORY_KEPT = 10
 
-#: Most bytes of a value's JSON before compression.
+#: Maximum size of a value as JSON before compression, in bytes.
 MAX_JSON_BYTES = 8_000_000
 
-#: Bytes of a shard's digest.
+#: Size of a shard's digest in bytes.
 DIGEST_BYTES = 16
 
 T = TypeVar("T")
@@ -48,18 +50,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryEntry:
-    """One change of one account or template."""
+    """A change of an account or template."""
 
     revision: int
     change_id: str
     author: str
-    #: What it did, a line per difference.
+    #: Effect of the change, one line per difference.
     difference: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class AccountEntry:
-    """An account as defined and as rendered."""
+    """Definition, rendered form and history of a client account."""
 
     template: str
     parameters: dict[str, Any]
@@ -75,9 +77,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressRelease:
-    """An address that left an account, and when."""
+    """An address that was removed from an account, with the revision of the removal."""
 
-    #: See :func:`citronspring.configuration.addresses.addresses_of`.
+    #: Text as in :func:`citronspring.configuration.addresses.addresses_of`.
     address: str
     account_id: str
     revision: int
@@ -85,17 +87,17 @@
 
 @dataclass(frozen=True)
 class Shard:
-    """The accounts whose ids hash to one number."""
+    """The accounts whose ids hash to one shard number."""
 
-    #: Revision and change id of the commit that wrote it. No two commits write
-    #: the same bytes, so a digest that was retired never comes into use again.
+    #: Revision and change id of the commit that wrote the shard. They make the bytes
+    #: of any two commits differ, so that a retired digest is never used again.
     written_by: str = ""
     accounts: dict[str, AccountEntry] = field(default_factory=dict)
     releases: tuple[AddressRelease, ...] = ()
 
     @cached_property
     def accounts_by_address(self) -> dict[str, str]:
-        """Account id by address; built once, as most shards outlive a commit."""
+        """Account id by address; cached, as most commits leave a shard unchanged."""
         return {
             address: account_id
             for account_id, entry in self.accounts.items()
@@ -118,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Templates:
-    """Every template."""
+    """All templates."""
 
     written_by: str = ""
     templates: dict[str, TemplateEntry] = field(default_factory=dict)
@@ -126,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommittedChange:
-    """A change id that the head remembers."""
+    """A committed change that the head records."""
 
     change_id: str
     #: Account id, or ``template:`` and the template's name.
@@ -138,38 +140,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """What a commit compares and swaps.
+    """The value that a commit replaces by compare-and-swap.
 
-    Each revision has exactly one change record. A commit takes as many
-    revisions as it changes accounts, at least one.
+    Each revision has exactly one change record. A commit uses one revision for each
+    account that it changes, and at least one.
     """
 
     revision: int = 0
-    #: Digest of each shard, empty for a shard that was never written.
+    #: Digest of each shard; empty for a shard that was never written.
     shards: tuple[str, ...] = ("",) * SHARD_COUNT
     templates: str = ""
     #: Oldest first.
     changes: tuple[CommittedChange, ...] = ()
-    #: Every commit above this revision is in ``changes``.
+    #: All commits above this revision are in ``changes``.
     changes_floor: int = 0
     #: Oldest first.
     records: tuple[ChangeRecord, ...] = ()
-    #: Every revision above this one is in ``records``.
+    #: The records of all revisions above this one are in ``records``.
     records_floor: int = 0
     #: Digests no longer in use, oldest first.
     retired: tuple[str, ...] = ()
-    #: How often the platform had come back from an older copy at the last commit.
+    #: Epoch of the last commit: how often the platform had been restored from a backup.
     epoch: int = 0
 
     def find_change(self, change_id: str) -> CommittedChange | None:
-        """Return a remembered change."""
+        """Return a recorded change, None if the id is not recorded."""
         for change in self.changes:
             if change.change_id == change_id:
                 return change
         return None
 
     def last_change_of(self, subject: str) -> CommittedChange | None:
-        """Return the newest remembered change of an account or template."""
+        """Return the newest recorded change of an account or template, if any."""
         for change in reversed(self.changes):
             if change.subject == subject:
                 return change
@@ -183,23 +185,24 @@
 
 
 def encode(adapter: TypeAdapter[T], value: T) -> bytes:
-    """Return the bytes of a value as the platform keeps them."""
+    """Return the bytes of a value as stored in the platform."""
     text = adapter.dump_json(value, exclude_defaults=True)
     encoded = zlib.compress(text)
     if len(encoded) > MAX_VALUE_BYTES or len(text) > MAX_JSON_BYTES:
         raise ConfigurationError(
-            f"a stored value would have {len(encoded)} bytes of {MAX_VALUE_BYTES}, "
-            f"{len(text)} bytes unpacked of {MAX_JSON_BYTES}",
+            f"a stored value would have {len(encoded)} bytes (at most "
+            f"{MAX_VALUE_BYTES}), and {len(text)} uncompressed (at most "
+            f"{MAX_JSON_BYTES})",
             "use smaller accounts or templates",
         )
     return encoded
 
 
 def encode_checked(adapter: TypeAdapter[T], value: T) -> bytes:
-    """Encode a value and make sure that it reads back as it is.
+    """Encode a value, and check that decoding gives the same value.
 
-    A number that JSON cannot hold would be committed and then stop every
-    reader of the shard. Reading it back first refuses just this one change.
+    A number that JSON cannot represent could be committed, but no process could read
+    the shard afterwards. The check refuses only the change that contains it.
     """
     encoded = encode(adapter, value)
     try:
@@ -208,25 +211,26 @@
         same = False
     if not same:
         raise ConfigurationError(
-            "the change holds a value that cannot be stored",
-            "use finite numbers of usual size",
+            "the change contains a value that cannot be stored",
+            "use finite numbers of ordinary size",
         )
     return encoded
 
 
 def decode(adapter: TypeAdapter[T], encoded: bytes) -> T:
-    """Read what :func:`encode` wrote; raises StoredValueError."""
+    """Decode the bytes from :func:`encode`; raise StoredValueError if not valid."""
     try:
         return adapter.validate_json(zlib.decompress(encoded))
     except (zlib.error, ValidationError) as error:
         raise StoredValueError(
-            "the platform holds a value this release cannot read",
-            "check that all hosts run one release and share no key prefix",
+            "the platform holds a value that this release cannot read",
+            "check that all hosts run the same release, and that nothing else uses "
+            "their key prefix",
         ) from error
 
 
 def digest_of(encoded: bytes) -> str:
-    """Return the name of an immutable value."""
+    """Return the digest of an immutable value, which is part of its key."""
     return hashlib.blake2b(encoded, digest_size=DIGEST_BYTES).hexdigest()
 
 
@@ -236,5 +240,5 @@
 
 
 def shard_of(account_id: str, shard_count: int) -> int:
-    """Return the number of an account's shard."""
+    """Return the shard number of an account."""
     return xxhash.xxh3_64_intdigest(account_id.encode()) % shard_count
--- a/citronspring/configuration/store.py
+++ b/citronspring/configuration/store.py
@@ -1,4 +1,4 @@
-"""Commit changes to the configuration and read it."""
+"""Commit changes to the configuration, and read it."""
 
 from __future__ import annotations
 
@@ -62,20 +62,20 @@
     from citronspring.entities import ChangeRecord, Snapshot
     from citronspring.key_value.port import Platform
 
-#: Heads of other operators on top of which one commit is tried again.
+#: Number of attempts for a commit when other operators commit concurrently.
 REBASE_ATTEMPTS = 16
 
-#: Seconds in which a process notices that its changes are lost, and writes them again:
-#: hosts read at once when they lose their watch, and after 8 s at the latest.
+#: Seconds in which a process notices that its changes are lost, and rewrites them.
+#: Hosts read at once when their watch fails, and after 8 s at the latest.
 RESTORE_GRACE_SECONDS = 10.0
 
-#: Releases in a shard above which a commit looks for confirmed ones.
+#: Number of releases in a shard above which a commit removes confirmed ones.
 RELEASES_KEPT = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """A change is accepted and stays in force."""
+    """Result of an accepted change."""
 
     #: Last revision of the commit.
     revision: int
@@ -83,27 +83,27 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """What one commit remembers from one head to the next."""
+    """State of a commit that is kept across retries on newer heads."""
 
-    #: Revision that last touched the account or template when the commit started.
+    #: Last revision of the account or template when the commit started.
     start_revision: int
-    #: Digests written for heads that never came.
+    #: Digests of values written for heads that were never committed.
     orphans: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class ConfigurationStore:
-    """The configuration in the platform, as one process sees it."""
+    """The configuration in the platform, as seen by one process."""
 
     platform: Platform
-    #: Zones the operators listed.
+    #: Zones that the settings list.
     zones: frozenset[str]
     reader: CatalogReader
     confirmations: ZoneConfirmations
-    #: Where changes are worked out. In the event loop, a template of thousands
-    #: of accounts would hold up every packet for seconds.
+    #: Runs the computation of changes. In the event loop, a change of a template with
+    #: thousands of accounts would block all packets for seconds.
     run: Runner
-    #: Until when others may write again, by epoch of the platform.
+    #: Time until which other processes may rewrite lost changes, by platform epoch.
     restore_grace_deadlines: dict[int, float] = field(default_factory=dict)
 
     @classmethod
@@ -113,18 +113,22 @@
         zones: Iterable[str],
         run: Runner = anyio.to_thread.run_sync,
     ) -> ConfigurationStore:
-        """Make a store that knows nothing yet.
+        """Return a store that has not read anything yet.
 
         Parameters
         ----------
         platform : Platform
             The key-value service.
         zones : iterable of str
-            The listed zones: accounts may name no other, and addresses move
-            only when all of them have confirmed. Raises SettingsError when
-            there is none, as addresses would then move unconfirmed.
+            The listed zones. Accounts may use no other ones, and addresses move
+            only after all of them have confirmed it.
         run : callable
-            Runs what takes long; :func:`run_in_place` needs no event loop.
+            Runs long computations; :func:`run_in_place` needs no event loop.
+
+        Raises
+        ------
+        SettingsError
+            If no zone is listed; addresses would then move without confirmation.
         """
         listed = frozenset(zones)
         if not listed:
@@ -134,23 +138,23 @@
         return cls(platform, listed, reader, confirmations, run)
 
     def new_change_id(self, token: str) -> str:
-        """Make a change id from the newest revision known."""
+        """Return a change id with the newest known revision."""
         return make_change_id(self.reader.head.revision, token)
 
     async def commit(self, change: AnyChange, now: float) -> Committed:
-        """Put a change in force, once, however often it is sent.
+        """Commit a change; idempotent by its change id.
 
         Parameters
         ----------
         change : Change
-            Sent again after a failure, it must have the same change id.
+            The change. A retry after a failure must have the same change id.
         now : float
-            Time from which the retention of removed targets runs.
+            Time at which the retention of removed targets starts.
 
         Returns
         -------
         Committed
-            Also when an earlier call with this change id committed it.
+            Also if an earlier call with this change id has committed the change.
 
         Raises
         ------
@@ -159,7 +163,7 @@
         PlatformUnavailableError
             The change is not accepted; this call changed nothing.
         OutcomeUnknownError
-            The change may be committed: send it again with the same change id.
+            The change may be committed; retry it with the same change id.
         """
         check_change(change)
         try:
@@ -183,12 +187,12 @@
             if committed is not None:
                 return committed
             catalog = await self.next_catalog()
-        raise not_accepted_error("other operators commit all the time")
+        raise not_accepted_error("too many concurrent commits by other operators")
 
     async def refresh(self) -> Head:
-        """Read the head; write again what a platform that came back has lost.
+        """Read the head; rewrite changes that the platform has lost.
 
-        Raises ChangesLostError when that cannot be done here.
+        Raises ChangesLostError if this process cannot rewrite them.
         """
         try:
             return await self.reader.refresh()
@@ -198,10 +202,11 @@
         return self.reader.head
 
     def refuse_during_restore_grace(self, catalog: Catalog, now: float) -> None:
-        """Refuse a commit while others may write again what the platform has lost.
+        """Refuse a commit while other processes may rewrite lost changes.
 
-        After a commit on the older copy that came back they could not, since histories
-        are not merged. Once one is made in this epoch, the time is over.
+        After a restore from a backup, the first commit ends the restore grace period:
+        diverged histories are not merged, so that lost changes can no longer be
+        rewritten.
         """
         epoch = epoch_of(catalog.version)
         if catalog.head.epoch == epoch:
@@ -211,16 +216,16 @@
         )
         if now < deadline:
             raise not_accepted_error(
-                "the platform has come back from an older copy, and accepted changes "
-                f"may be written again for {deadline - now:.0f} s"
+                "the platform was restored from a backup, and lost changes may still "
+                f"be rewritten for {deadline - now:.0f} s"
             )
 
     def find_committed(self, head: Head, change: AnyChange) -> Committed | None:
-        """Return how a change was committed, None if it certainly was not.
+        """Return the result of an earlier commit of a change, None if there was none.
 
-        The head remembers some hundred change ids. One made before the oldest
-        of them could have been committed and forgotten; committing it would
-        perhaps do it twice, so it is refused.
+        The head records only some hundred change ids. A change whose id is older than
+        these may have been committed already. It is refused, because committing it
+        could apply it twice.
         """
         known = head.find_change(change.change_id)
         if known is not None:
@@ -228,20 +233,20 @@
         seen = change_id_revision(change.change_id)
         if seen > head.revision:
             raise not_accepted_error(
-                f"revision {seen} of the change id is not known here"
+                f"revision {seen} of the change id is not known to this process"
             )
         if seen < head.changes_floor:
             raise OutcomeUnknownError(
                 f"change {change.change_id} was made at revision {seen}; changes up "
-                f"to revision {head.changes_floor} are forgotten",
-                "read the history, and make the change under a new id if it is missing",
+                f"to revision {head.changes_floor} are no longer recorded",
+                "read the history, and submit the change under a new id if missing",
             )
         return None
 
     async def prepare(
         self, catalog: Catalog, change: AnyChange, attempt: Attempt, now: float
     ) -> PreparedCommit:
-        """Check a change against a catalog and write its shards."""
+        """Check a change against a catalog, and write its shards."""
         draft = await self.run(plan, catalog, change, self.zones, now)
         try:
             confirmed = await self.check_moves(draft)
@@ -255,26 +260,26 @@
         return prepared
 
     async def check_moves(self, draft: Draft) -> dict[str, int]:
-        """Refuse addresses of other accounts; return the zones' confirmations.
+        """Refuse addresses of other accounts; return the confirmed revisions by zone.
 
-        They are read only when an address that the draft takes left another
-        account before.
+        Confirmations are read only if the draft adds an address that was removed from
+        another account, or if releases should be cleaned up.
         """
-        in_the_way = await self.run(find_blocking_releases, draft)
-        if not in_the_way and not has_many_releases(draft):
+        blocking = await self.run(find_blocking_releases, draft)
+        if not blocking and not has_many_releases(draft):
             return {}
         zones = self.zones | zones_of(draft.catalog)
         confirmed = await self.confirmations.read(zones)
-        refuse_unconfirmed(in_the_way, confirmed)
+        refuse_unconfirmed(blocking, confirmed)
         return confirmed
 
     async def swap_head(self, prepared: PreparedCommit, change: AnyChange) -> bool:
-        """Compare-and-swap the head; False when another one is there.
+        """Compare-and-swap the head; return False if its version has changed.
 
-        A lost answer leaves two cases, so the same swap is sent again. If the
-        first took effect, the second finds another version, and the head tells
-        by the change id whose it is. If it did not, the second may take effect
-        and the first, should it still arrive, finds another version.
+        If the response is lost, the same swap is sent again. If the first one took
+        effect, the second fails on the version, and the change id in the head shows
+        whose commit it is. If it did not, the second may take effect; the first then
+        fails on the version should it still arrive.
         """
         base = prepared.catalog.version
         uncertain = False
@@ -297,7 +302,7 @@
     async def read_replacing_head(
         self, base: int, change: AnyChange, uncertain: bool
     ) -> None:
-        """Read the head that replaced ``base``, this commit's own perhaps."""
+        """Read the head that replaced ``base``, which may be this commit's own."""
         try:
             await self.reader.refresh_past(base)
         except CitronspringError as error:
@@ -306,14 +311,14 @@
             raise not_accepted_error(error) from error
 
     async def next_catalog(self) -> Catalog:
-        """Read the catalog of the head that won."""
+        """Read the catalog of the newest head."""
         try:
             return await self.reader.read_catalog()
         except PlatformUnavailableError as error:
             raise not_accepted_error(error) from error
 
     async def delete_expired_shards(self, prepared: PreparedCommit) -> None:
-        """Delete shards out of reach; left behind, they only take up room."""
+        """Delete shards that are no longer in use; failures only waste space."""
         for digest in prepared.expired_digests:
             try:
                 await self.platform.delete(shard_key(digest))
@@ -321,9 +326,9 @@
                 return
 
     async def read_snapshot(self) -> Snapshot:
-        """Read every account; the revision is never below one read before.
+        """Read all accounts; the revision is never lower than that of an earlier read.
 
-        Only a process that commits keeps the definitions in memory.
+        The definitions are not kept in memory; only commits need them.
         """
         await self.refresh()
         return (await self.reader.read_catalog(keep=False)).snapshot()
@@ -333,9 +338,9 @@
     ) -> tuple[ChangeRecord, ...] | None:
         """Read the change records above a revision, oldest first.
 
-        There is one for each revision; a change that touched no account has a
-        record with an empty account id and no account. None when some are
-        forgotten: take the snapshot.
+        Each revision has one record; that of a change that affects no account has an
+        empty account id and no account. Returns None if some of the records are no
+        longer available; the caller then has to read the snapshot.
         """
         head = await self.refresh()
         if after_revision < head.records_floor:
@@ -343,34 +348,34 @@
         return tuple(r for r in head.records if r.revision > after_revision)
 
     async def watch_head(self, after_revision: int) -> int:
-        """Wait for a revision above ``after_revision`` and return it."""
+        """Wait for a revision above ``after_revision``, and return it."""
         return await self.reader.watch(after_revision)
 
     async def read_catalog(self) -> Catalog:
-        """Read definitions, rendered accounts and histories of everything."""
+        """Read all definitions, rendered accounts and histories."""
         await self.refresh()
         return await self.reader.read_catalog()
 
     async def read_account(self, account_id: str) -> AccountEntry:
-        """Read one account with its history; raises NotFoundError."""
+        """Read an account with its history; raise NotFoundError if there is none."""
         return require_entry(await self.read_catalog(), account_id)
 
     async def read_template(self, name: str) -> TemplateEntry:
-        """Read one template with its history; raises NotFoundError."""
+        """Read a template with its history; raise NotFoundError if there is none."""
         return require_template(await self.read_catalog(), name)
 
     async def confirm_zone(self, zone: str, revision: int) -> int:
-        """Tell that all hosts of a zone are at ``revision`` or above.
+        """Record that all hosts of a zone have reached ``revision``.
 
-        Returns what the zone has confirmed, which never goes down.
+        Returns the revision that the zone has confirmed; it never decreases.
         """
         return await self.confirmations.confirm(zone, revision)
 
 
 def find_blocking_releases(draft: Draft) -> list[AddressRelease]:
-    """Return the releases of addresses that a draft takes, if no account has them.
+    """Return the releases of the addresses that a draft adds.
 
-    Raises MoveRefusedError when another account has one.
+    Raises MoveRefusedError if another account still has one of the addresses.
     """
     catalog = draft.catalog
     taken = newly_taken_addresses(catalog, draft.changed_entries)
@@ -379,7 +384,7 @@
 
 
 def has_many_releases(draft: Draft) -> bool:
-    """Whether a shard to be written should forget confirmed releases."""
+    """Whether a changed shard has so many releases that they should be cleaned up."""
     shards = draft.catalog.shards
     indexes = {
         shard_of(account_id, len(shards)) for account_id in draft.changed_entries
@@ -388,7 +393,7 @@
 
 
 def zones_of(catalog: Catalog) -> frozenset[str]:
-    """Return the zones that accounts name."""
+    """Return the zones that accounts use."""
     zones: set[str] = set()
     for _, entry in catalog.entries():
         zones.update(entry.rendered.account.zones)
@@ -396,7 +401,7 @@
 
 
 def not_accepted_error(cause: object) -> PlatformUnavailableError:
-    """Make the error of a change that this call did not put in force."""
+    """Return the error for a change that this call did not commit."""
     return PlatformUnavailableError(
         f"not accepted, this call changed nothing: {cause}",
         "send it again with the same change id",
@@ -404,8 +409,8 @@
 
 
 def outcome_unknown_error(change: AnyChange) -> OutcomeUnknownError:
-    """Make the error of a change that may be in force."""
+    """Return the error for a change that may have been committed."""
     return OutcomeUnknownError(
-        f"no answer tells whether change {change.change_id} was committed",
-        "send it again with the same change id, it is never committed twice",
+        f"it is unknown whether change {change.change_id} was committed",
+        "send it again with the same change id; it is never committed twice",
     )
--- a/citronspring/configuration/writing.py
+++ b/citronspring/configuration/writing.py
@@ -1,4 +1,4 @@
-"""Write immutable values, and what a platform that came back has lost."""
+"""Write shards, and rewrite changes that the platform has lost."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     from citronspring.configuration.reader import CatalogReader
     from citronspring.key_value.port import Platform
 
-#: Times one write is sent when its answers are lost.
+#: Number of attempts for a write whose responses are lost.
 WRITE_ATTEMPTS = 3
 
 
 async def write_shard(platform: Platform, digest: str, value: bytes) -> None:
-    """Write an immutable value; it may be there already."""
+    """Write an immutable value; it may already exist."""
     for _ in range(WRITE_ATTEMPTS):
         try:
             await platform.put(shard_key(digest), value, ABSENT)
@@ -44,14 +44,14 @@
         except OutcomeUnknownError:
             continue
         return
-    raise PlatformUnavailableError("no answer to the write of a shard")
+    raise PlatformUnavailableError("no response to the write of a shard")
 
 
 async def restore_lost_changes(reader: CatalogReader) -> bool:
-    """Put the known catalog in the place of the older one that it was made from.
+    """Write the known catalog back to a platform that was restored from a backup.
 
-    Returns False, with nothing written, where not all of it is known here, or where
-    others have changed the older one since.
+    Returns False, with nothing written, if this process does not hold the whole
+    catalog, or if the platform's head has changes that the known catalog lacks.
     """
     if not reader.is_complete:
         return False
@@ -67,7 +67,7 @@
         version = await platform.put(HEAD_KEY, encode(HEAD, catalog.head), expected)
     except (VersionMismatchError, OutcomeUnknownError) as error:
         raise PlatformUnavailableError(
-            f"accepted changes are not written again yet: {error}",
+            f"lost changes are not rewritten yet: {error}",
             "try again in a moment",
         ) from error
     reader.update_catalog(replace(catalog, version=version))
@@ -76,13 +76,13 @@
 
 
 def missing_values(catalog: Catalog, head: Head) -> dict[str, bytes]:
-    """Return the values by digest that a catalog names and a head does not."""
-    there = {*head.shards, head.templates, ""}
+    """Return the values, by digest, that a catalog refers to and a head does not."""
+    present = {*head.shards, head.templates, ""}
     values = {
         digest: encode(SHARD, shard)
         for digest, shard in zip(catalog.head.shards, catalog.shards, strict=True)
-        if digest not in there
+        if digest not in present
     }
-    if catalog.head.templates not in there:
+    if catalog.head.templates not in present:
         values[catalog.head.templates] = encode(TEMPLATES, catalog.templates)
     return values
--- a/citronspring/configuration/zones.py
+++ b/citronspring/configuration/zones.py
@@ -1,4 +1,4 @@
-"""What the zones have confirmed: one small key for each."""
+"""Confirmed revisions of the availability zones, one key in the platform for each."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
     from citronspring.key_value.port import Platform, StoredValue
 
-#: Times a confirmation is written over those of other hosts.
+#: Number of attempts to write a confirmation when other hosts write it concurrently.
 CONFIRM_ATTEMPTS = 8
 
 
@@ -29,17 +29,17 @@
     platform: Platform
 
     async def read(self, zones: Iterable[str]) -> dict[str, int]:
-        """Read what each zone has confirmed, 0 for nothing."""
+        """Return the confirmed revision of each zone, 0 if there is none."""
         return {
             zone: confirmed_revision(await self.platform.get(zone_key(zone)))
             for zone in sorted(zones)
         }
 
     async def confirm(self, zone: str, revision: int) -> int:
-        """Raise a zone's confirmed revision and return what is confirmed.
+        """Raise the confirmed revision of a zone, and return the confirmed one.
 
-        A host that lags would otherwise take back what the zone confirmed. The
-        compare-and-swap fails for it, also when its read was stale.
+        The compare-and-swap keeps a lagging host from lowering the revision, even if
+        its read was stale.
         """
         key = zone_key(zone)
         for _ in range(CONFIRM_ATTEMPTS):
@@ -65,12 +65,12 @@
 
 
 def confirmed_revision(stored: StoredValue | None) -> int:
-    """Read a confirmation, 0 when there is none."""
+    """Return the revision of a stored confirmation, 0 if there is none."""
     if stored is None:
         return 0
     try:
         return int(stored.value)
     except ValueError as error:
         raise StoredValueError(
-            "a zone's confirmation is no revision", "delete the zone's key"
+            "the confirmation of a zone is not a revision", "delete the zone's key"
         ) from error
