--- a/citronspring/key_value/http.py
+++ b/citronspring/key_value/http.py
@@ -198,7 +198,8 @@
 def unavailable_error(cause: object) -> PlatformUnavailableError:
     """Return the error for a call that the platform did not accept."""
     return PlatformUnavailableError(
-        f"the platform accepted no call ({cause!r})", "try again when it is available"
+        f"the platform did not accept the call ({cause!r})",
+        "try again when it is available",
     )
 
 
