--- a/citronspring/control/budget.py
+++ b/citronspring/control/budget.py
@@ -48,9 +48,9 @@
 class Priority(IntEnum):
     """Priorities of messages, the highest first."""
 
-    #: Pings and their answers, which also carry the revision and updates such as leaving
-    #: and suspected hosts. They are small, and a host that cannot answer is declared
-    #: dead.
+    #: Pings and their answers, which also carry the revision and updates such as that a
+    #: host leaves or is suspected. They are small, and a host that cannot answer is
+    #: declared dead.
     HEARTBEAT = 0
     #: Change records, and requests for missing data.
     CONFIGURATION = 1
