--- a/citronspring/account_rows.py
+++ b/citronspring/account_rows.py
@@ -1,4 +1,4 @@
-"""Tables of flows in which no client account can take all the room."""
+"""Tables of flows in which one client account cannot take all the space."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 if TYPE_CHECKING:
     from citronspring.tables import AccountRow
 
-#: A client account may hold this many times the rows that are still free, so that
-#: one account's flood takes two thirds of a table and the next finds room.
+#: A client account may hold this many times the number of free rows. With 2, a flood of
+#: one account takes at most two thirds of a table and the next account finds room.
 FREE_ROWS_FACTOR = 2
 
 
@@ -26,24 +26,25 @@
 
 
 class AccountRows(dict[FlowKey, RowT]):
-    """Rows by flow that know how many of them each client account holds."""
+    """Rows by flow, with the number of rows of each client account."""
 
     def __init__(self) -> None:
         super().__init__()
-        #: Rows by client account; accounts without rows are not in it.
+        #: Number of rows by client account; accounts without rows are left out.
         self.row_counts: dict[AccountRow, int] = {}
 
     def has_room(self, account: AccountRow, maximum: int) -> bool:
-        """Whether the account may hold one more row of at most ``maximum``.
+        """Whether the account may add a row to a table of at most ``maximum`` rows.
 
-        A bound for all accounts together would let the first flood lock the
-        others out; a fixed part for each would leave idle accounts' parts unused.
+        With one limit for all accounts together, the first flood would lock out the
+        others; a fixed share for each account would leave the shares of idle accounts
+        unused.
         """
         free = maximum - len(self)
         return self.row_counts.get(account, 0) < FREE_ROWS_FACTOR * free
 
     def adjust_count(self, account: AccountRow, step: int) -> None:
-        """Add to an account's number of rows."""
+        """Add ``step`` to the number of rows of an account."""
         number = self.row_counts.get(account, 0) + step
         if number:
             self.row_counts[account] = number
--- a/citronspring/balancer.py
+++ b/citronspring/balancer.py
@@ -1,4 +1,4 @@
-"""The decision core: events in, actions out, all state in tables."""
+"""Decision core of a host: turns events into actions; all state is in tables."""
 
 from __future__ import annotations
 
@@ -54,15 +54,18 @@
     from citronspring.entities import Host
     from citronspring.messages import Action, Event
 
-#: Flow rows a host may hold, unless its settings say otherwise.
+#: Maximum number of flow rows on a host, unless its settings give another.
 DEFAULT_MAX_FLOWS = 1_000_000
 
-#: Events that a fenced host does not act on.
+#: Events that are dropped while the host is fenced.
 PACKET_EVENTS = (PacketReceived, RelayReceived)
 
 
 class Balancer:
-    """One host's decisions. Pure: time, randomness and I/O come as arguments.
+    """Decision core of one host.
+
+    The core does no I/O, reads no clock and draws no random numbers of its own; all of
+    these are passed in.
 
     Parameters
     ----------
@@ -83,21 +86,21 @@
         incarnation: int = 0,
         rng: RandomSource | None = None,
     ) -> Balancer:
-        """Make the core of a host that knows some peers and no configuration.
+        """Create the core of a host that knows some peers and has no configuration.
 
         Parameters
         ----------
         host : Host
             The host itself.
         peers : iterable of Host
-            Hosts that the settings name; the others are learnt from these.
+            Hosts named in the settings; the others are discovered through these.
         max_flows : int
-            Bound of the flow table.
+            Maximum number of rows in the flow table.
         incarnation : int
-            Boot time in milliseconds, so that a restarted host outranks what
-            was said of it.
+            Boot time in milliseconds. It makes the updates of a restarted host
+            supersede those about its previous run.
         rng : RandomSource, optional
-            Random choices; derived from host and incarnation if not given.
+            Source of random numbers; derived from host and incarnation by default.
         """
         tables = Tables(host.host_id, host.zone, host.group, max_flows)
         rng = rng or HashedRandomSource.from_host(host.host_id, incarnation)
@@ -116,14 +119,14 @@
         Parameters
         ----------
         event : Event
-            What happened.
+            The event.
         now : float
-            Seconds on a clock that never goes back.
+            Monotonic time in seconds.
 
         Returns
         -------
         list of Action
-            What the carrier must do, in order.
+            Actions for the packet I/O to perform, in order.
         """
         actions: list[Action] = []
         tables = self.tables
@@ -159,7 +162,7 @@
         return actions
 
     def tick(self, now: float) -> list[Action]:
-        """Run the systems that act on time; to be called several times a second."""
+        """Run the periodic systems; to be called several times a second."""
         actions: list[Action] = []
         tables = self.tables
         check_clock(tables, now, actions)
--- a/citronspring/entities.py
+++ b/citronspring/entities.py
@@ -1,4 +1,4 @@
-"""Configured entities: plain data classes, already validated at the border."""
+"""Configured entities: plain data classes, validated before they get here."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 #: Canonical bytes of a five-tuple, see :func:`citronspring.rendezvous.flow_key`.
 FlowKey = NewType("FlowKey", bytes)
 
-#: The leading bytes of a flow key that name protocol, service address and port.
+#: Leading bytes of a flow key: protocol, service address and service port.
 ServiceKey = NewType("ServiceKey", bytes)
 
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ServiceAddress:
-    """What callers connect to: an address, a port and a protocol."""
+    """An address, port and protocol that callers connect to."""
 
     ip: str
     port: int
@@ -35,21 +35,21 @@
 class Target:
     """A server of one client account, as configured.
 
-    ``added_revision`` and ``leaving_revision`` bound the revisions at which new
-    flows could be placed on it; every host derives from them alone where a flow
-    it does not know may live.
+    New flows can be placed on it at the revisions from ``added_revision`` up to, but
+    not including, ``leaving_revision``. Every host derives from these two alone which
+    targets may hold a flow that it does not know.
     """
 
     target_id: str
     account_id: str
-    #: Where the target's kernel unwraps the tunnel.
+    #: Address at which the target's kernel decapsulates tunnelled packets.
     tunnel: Endpoint
     zone: str
-    #: Requests it works on at once; reported load is relative to it.
+    #: Requests it processes concurrently; its reported load is relative to this.
     slots: int = 2
     #: Hard limit of open flows.
     max_connections: int = 2000
-    #: Where its health and load endpoint answers, if it has one.
+    #: Its health and load endpoint, if it has one.
     health: Endpoint | None = None
     added_revision: int = 0
     #: Revision at which it was told to leave; None while it takes new flows.
@@ -57,25 +57,25 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether it takes no new flows."""
+        """Whether the target takes no new flows."""
         return self.leaving_revision is not None
 
 
 @dataclass(frozen=True, slots=True)
 class AccountLimits:
-    """Bounds that keep one client account from using up another's share."""
+    """Limits that keep one client account from exhausting shared resources."""
 
     #: Open flows over all hosts.
     max_connections: int = 100_000
-    #: New flows a second over all hosts.
+    #: New flows per second over all hosts.
     new_per_second: float = 10_000.0
-    #: Retries of openings, as a share of new flows.
+    #: Opening retries as a share of new flows.
     retry_ratio: float = 0.2
     #: Seconds an opening may take before the caller is refused.
     opening_timeout: float = 5.0
-    #: Seconds without a packet after which a TCP flow is forgotten.
+    #: Seconds without a packet after which a TCP flow expires.
     tcp_idle_timeout: float = 3600.0
-    #: Seconds without a packet after which a datagram flow is forgotten.
+    #: Seconds without a packet after which a datagram flow expires.
     udp_idle_timeout: float = 120.0
 
 
@@ -92,25 +92,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRecord:
-    """One committed change: the account as it is from ``revision`` on."""
+    """One committed change: the account as of ``revision``."""
 
     revision: int
     change_id: str
     account_id: str
-    #: None when the change deleted the account.
+    #: None if the change deleted the account.
     account: Account | None
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Every client account at one revision."""
+    """All client accounts at one revision."""
 
     revision: int
     accounts: tuple[Account, ...] = ()
 
 
 class HostState(Enum):
-    """What the membership view holds of a host."""
+    """State of a host in the membership view."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -120,11 +120,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """An entry host of the system and where its sockets are."""
+    """A host that runs the load balancer, with the addresses of its sockets."""
 
     host_id: str
     zone: str
-    #: Hosts that the fabric may spray the same packets to share a group.
+    #: Hosts share a group if the fabric may spray packets of one flow over them.
     group: str
     #: Receives tunnelled packets from the fabric and from targets.
     tunnel: Endpoint
--- a/citronspring/load_rows.py
+++ b/citronspring/load_rows.py
@@ -1,4 +1,4 @@
-"""Rows of limits, health and loads, beside the rows of accounts and targets."""
+"""Rows of limits, health and loads, referenced by accounts and targets."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @dataclass(slots=True)
 class GcraLimiter:
-    """A rate limit that stores the time at which it is next exhausted (GCRA)."""
+    """Rate limit by the generic cell rate algorithm (GCRA)."""
 
-    #: Theoretical arrival time: when the events so far would be paid off.
+    #: Theoretical arrival time of the next event at the configured rate.
     arrival_at: float = 0.0
 
     def admit(self, now: float, per_second: float, burst: float) -> bool:
@@ -26,15 +26,15 @@
     def retry_at(self, per_second: float, burst: float) -> float:
         """Return the time from which one more event is admitted.
 
-        `admit` compares with this very number: worked out in two ways, rounding
-        would refuse a caller who comes back just when told to.
+        `admit` compares with exactly this value. If the two computed it separately,
+        rounding could refuse a caller that comes back at the time it was given.
         """
         return self.arrival_at - burst / per_second
 
 
 @dataclass(slots=True, frozen=True)
 class PeerUsage:
-    """Flows of a client account that a peer promised to stay within, or holds."""
+    """Usage cap of a client account that a peer announced, or the flows it holds."""
 
     open_flows: int
     received_at: float
@@ -42,74 +42,74 @@
 
 @dataclass(slots=True)
 class QuotaLending:
-    """What owners leave each other of a client account's connections."""
+    """Lending of a client account's connection quota between owners."""
 
-    #: Promises of peers by host id.
+    #: Announced usage caps by host id.
     peer_usage: dict[str, PeerUsage] = field(default_factory=dict)
-    #: What this host last promised to stay within.
+    #: Usage cap that this host announced last.
     announced_cap: int = 0
-    #: When that promise runs out; 0.0 if there never was one.
+    #: Expiry time of that cap; 0.0 if none was announced.
     cap_expires_at: float = 0.0
-    #: Until this time peers need what this host leaves unused.
+    #: Until this time peers need the quota that this host does not use.
     contended_until: float = 0.0
 
 
 @dataclass(slots=True)
 class ProberReport:
-    """What one prober last said of a target."""
+    """Latest report of one prober about a target."""
 
     healthy: bool
-    #: Busy share, 0.0 to 1.0 and above when queueing; None if not told.
+    #: Utilization: 0.0 to 1.0, above 1.0 with a queue; None if not reported.
     load: float | None
-    #: When it began to say so.
+    #: Time of the first report in a row with this value of ``healthy``.
     since: float
-    #: The note counts for nothing from this time.
+    #: The report is ignored from this time on.
     deadline: float
-    #: Results in a row that contradict ``healthy``, at the prober itself.
+    #: Consecutive probe results that contradict ``healthy``; kept by the prober itself.
     contrary_results: int = 0
 
 
 @dataclass(slots=True)
 class HealthState:
-    """What this host knows against a target, and what speaks for it."""
+    """Health of a target as this host sees it."""
 
     #: Until this time no new flow is placed on the target.
     ejected_until: float = 0.0
-    #: Ejections in a row; the next one lasts longer.
+    #: Consecutive ejections; each lasts longer than the one before.
     ejections: int = 0
-    #: Openings in a row that it refused or did not answer.
+    #: Consecutive openings that the target refused or did not answer.
     failures: int = 0
-    #: Ejected once and not seen to answer since: one trial flow at a time.
+    #: Ejected and no answer seen since: gets only one trial flow at a time.
     on_probation: bool = False
     #: No further trial flow before this time.
     trial_until: float = 0.0
-    #: From this time its earlier ejections no longer lengthen the next one.
+    #: From this time on earlier ejections no longer lengthen the next one.
     ejections_reset_at: float = 0.0
-    #: When it last answered an opening.
+    #: Time at which the target last answered an opening.
     answered_at: float = -1.0
-    #: What probers said, by host id; None while nobody did.
+    #: Reports by prober host id; None if there are none.
     prober_reports: dict[str, ProberReport] | None = None
 
 
-#: The state of every target that nothing is known of; never changed. Accounts are
-#: idle for the most part, and a state for each of their targets would cost more
-#: than the rest of their rows.
+#: Health state of every target without health data; never modified. Most accounts are
+#: idle, and a separate object for each of their targets would need more memory than the
+#: rest of their rows.
 UNKNOWN_HEALTH = HealthState()
 
 
 @dataclass(slots=True, frozen=True)
 class RemoteCount:
-    """Flows of a peer on a target, as it told them."""
+    """Number of flows that a peer reported for a target."""
 
     row: TargetRow
     flows: int
-    #: Not repeated until then, they count no longer.
+    #: Expiry time if the count is not repeated.
     deadline: float
 
 
 @dataclass(slots=True, frozen=True)
 class SentLoad:
-    """What a peer was last told of a target."""
+    """The count of a target that was last sent to a peer."""
 
     flows: int
     sent_at: float
@@ -117,19 +117,19 @@
 
 @dataclass(slots=True)
 class LoadTable:
-    """What peers told of their loads, and what they were told."""
+    """Loads received from peers and sent to them."""
 
     #: Counts by peer and target id.
     counts: dict[str, dict[str, RemoteCount]] = field(default_factory=dict)
-    #: By peer, until when it counts as known.
+    #: Time until which the counts of each peer are valid.
     valid_until: dict[str, float] = field(default_factory=dict)
     #: Entries by peer and target id.
     last_sent: dict[str, dict[str, SentLoad]] = field(default_factory=dict)
-    #: When the next peer is told.
+    #: Time at which the next peer gets a message.
     next_send_at: float = 0.0
-    #: Messages so far; says whose turn it is.
+    #: Number of messages sent so far; selects the next peer.
     messages_sent: int = 0
-    #: How much what peers told counts in placement, 0.0 to 1.0.
+    #: Weight of the counts of peers in placement, 0.0 to 1.0.
     weight: float = 0.0
-    #: Version of the ring that the peers were last compared with.
+    #: Version of the owner table that the peers were last compared with.
     owners_version: int = 0
--- a/citronspring/messages.py
+++ b/citronspring/messages.py
@@ -1,4 +1,4 @@
-"""What goes into the decision core and what comes out of it, as typed messages."""
+"""Events that go into the decision core and actions that come out of it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Packet:
-    """An inner IP packet; only the carrier looks inside ``data``."""
+    """An inner IP packet; only the packet I/O reads ``data``."""
 
     #: Always in the caller's direction: service address first, caller second.
     flow: FlowKey
@@ -27,38 +27,38 @@
     ack: int
     #: Bytes of payload after the transport header.
     payload_length: int
-    #: The packet as it travels, opaque to the core.
+    #: The whole packet, opaque to the core.
     data: bytes
     #: True for an ICMP error about this flow (port unreachable).
     unreachable: bool = False
 
 
 class RelayKind(IntEnum):
-    """Why one host hands a packet, or a binding, to another."""
+    """Why one host sends a packet or a binding to another."""
 
-    #: To the flow's owner, which decides.
+    #: To the owner of the flow, which decides.
     TO_OWNER = 1
-    #: From the owner to the second-ranked host: confirm and forward.
+    #: From the owner to the backup host: keep the proposed binding and forward.
     PROPOSE = 2
-    #: From the owner to the second-ranked host: forward if the flow is known.
+    #: From the owner to the backup host: forward if the flow is known.
     QUERY = 3
-    #: Back to the owner: the second-ranked host does not know the flow.
+    #: Back to the owner: the backup host does not know the flow.
     UNKNOWN = 4
-    #: The named flow is bound to the named target; carries no packet.
+    #: The flow is bound to the named target; carries no packet.
     BIND = 5
     #: The receiver may forward packets of the flow itself; carries no packet.
     HINT = 6
 
 
-# Events in ---------------------------------------------------------------------
+# Events ------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class PacketReceived:
-    """A packet from the fabric, or from a target (``target_id`` set)."""
+    """A packet from the fabric, or from a target if ``target_id`` is set."""
 
     packet: Packet
-    #: The target whose tunnel sent it; None when it came from the fabric.
+    #: Target whose tunnel sent the packet; None if it came from the fabric.
     target_id: str | None = None
 
 
@@ -71,9 +71,9 @@
     flow: FlowKey
     #: None for BIND and HINT.
     packet: Packet | None = None
-    #: The target that sent the packet, if an answer.
+    #: Target that sent the packet, if it is an answer.
     source: str | None = None
-    #: The target that is proposed or bound.
+    #: Target that is proposed or bound.
     target_id: str | None = None
 
 
@@ -82,8 +82,8 @@
     """A whole configuration, read from the platform."""
 
     snapshot: Snapshot
-    #: Time at which it was asked for; an answer that waited through a freeze is
-    #: no proof that it is still the newest.
+    #: Time of the request. An answer that was delayed by a stall of this host may no
+    #: longer be current.
     asked_at: float = math.inf
 
 
@@ -92,7 +92,7 @@
     """Change records in ascending order, read from the platform."""
 
     records: tuple[ChangeRecord, ...]
-    #: Time at which they were asked for, see `SnapshotRead`.
+    #: Time of the request, see `SnapshotRead`.
     asked_at: float = math.inf
 
 
@@ -106,17 +106,17 @@
 
 @dataclass(slots=True)
 class ProbeResult:
-    """What a target's health endpoint said, or that it said nothing."""
+    """Result of a health probe of a target; no answer counts as unhealthy."""
 
     target_id: str
     healthy: bool
-    #: Busy share, 0.0 to 1.0 and above when queueing; None if not told.
+    #: Utilization: 0.0 to 1.0, above 1.0 with a queue; None if not reported.
     load: float | None = None
 
 
 @dataclass(slots=True)
 class HostListRead:
-    """The platform's lagging list: host ids live, and host ids leaving."""
+    """The platform's list of live and leaving host ids, which may be outdated."""
 
     live: frozenset[str]
     leaving: frozenset[str]
@@ -124,16 +124,16 @@
 
 @dataclass(slots=True)
 class TargetUnreachable:
-    """The network said a target's tunnel takes no packets (ICMP to our socket)."""
+    """The network reported a target's tunnel as unreachable (ICMP to our socket)."""
 
     target_id: str
 
 
 @dataclass(slots=True)
 class LeaveRequested:
-    """The operator or a signal asks this host to stop; it announces leaving."""
+    """An operator or a signal asks this host to leave."""
 
-    #: Time by which it exits, whatever is still open.
+    #: Time by which the host exits, even with open flows.
     deadline: float
 
 
@@ -150,7 +150,7 @@
 )
 
 
-# Actions out -------------------------------------------------------------------
+# Actions -----------------------------------------------------------------------
 
 
 class RefusalReason(Enum):
@@ -167,7 +167,7 @@
 
 
 class DropReason(Enum):
-    """Why a packet was dropped; each is counted."""
+    """Why a packet was dropped; counted by reason."""
 
     UNKNOWN_SERVICE = "unknown-service"
     FOREIGN_SOURCE = "foreign-source"
@@ -189,14 +189,14 @@
 
 @dataclass(slots=True)
 class SendToCaller:
-    """Hand an answer to the fabric."""
+    """Send an answer to the fabric."""
 
     packet: Packet
 
 
 @dataclass(slots=True)
 class Relay:
-    """Hand a packet, or a binding, to another host."""
+    """Send a packet or a binding to another host."""
 
     kind: RelayKind
     host_id: str
@@ -208,17 +208,17 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Tell the caller, at once, that its opening was not run."""
+    """Tell the caller immediately that its opening was refused and nothing was run."""
 
     packet: Packet
     reason: RefusalReason
-    #: Time from which trying again makes sense.
+    #: Earliest time at which a retry makes sense.
     retry_at: float
 
 
 @dataclass(slots=True)
 class Drop:
-    """Count a packet that goes nowhere."""
+    """Count a dropped packet."""
 
     reason: DropReason
 
@@ -233,14 +233,14 @@
 
 @dataclass(slots=True)
 class ProbeTarget:
-    """Ask a target's health endpoint and report a ``ProbeResult``."""
+    """Probe a target's health endpoint and report a ``ProbeResult``."""
 
     target_id: str
 
 
 @dataclass(slots=True)
 class ReadPlatform:
-    """Fetch what is newer than ``revision`` from the platform."""
+    """Read all changes after ``revision`` from the platform."""
 
     revision: int
 
@@ -255,7 +255,7 @@
 
 @dataclass(slots=True)
 class Stopped:
-    """Nothing is left to serve, or the deadline passed: the process may exit."""
+    """The process may exit: nothing is left to serve, or the deadline has passed."""
 
 
 Action = (
--- a/citronspring/rendezvous.py
+++ b/citronspring/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: which host owns a flow, which targets it may be on."""
+"""Rendezvous hashing: the owner of a flow and the ranking of its targets."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
     from citronspring.entities import ServiceAddress
 
-#: Ownership is decided for this many slots of the hash space, so that the owner
-#: of a flow costs one hash instead of one a host.
+#: Number of slots of the hash space. The owner is determined per slot, so that finding
+#: the owner of a flow takes one hash instead of one per host.
 OWNER_SLOTS = 16384
 
 #: Length of a flow key whose addresses are IPv4: 1 + 4 + 2 + 4 + 2 bytes.
@@ -37,26 +37,26 @@
 
 
 def service_key_of(flow: FlowKey) -> ServiceKey:
-    """Return the part of a flow key that names the service address."""
+    """Return the part of a flow key that identifies the service address."""
     if len(flow) == FLOW_KEY_LENGTH_V4:
         return ServiceKey(flow[:SERVICE_KEY_LENGTH_V4])
     return ServiceKey(flow[:SERVICE_KEY_LENGTH_V6])
 
 
 def service_key(address: ServiceAddress) -> ServiceKey:
-    """Return the leading bytes of every flow key to a service address."""
+    """Return the leading bytes of every flow key of a service address."""
     packed = ipaddress.ip_address(address.ip).packed
     port = struct.pack(">H", address.port)
     return ServiceKey(bytes([address.protocol]) + packed + port)
 
 
 def seed_of(identity: str) -> int:
-    """Return the hash seed that stands for a host or target."""
+    """Return the hash seed of a host or target."""
     return xxh64_intdigest(identity.encode())
 
 
 def score(key: bytes, seed: int) -> int:
-    """Return the 64-bit rendezvous weight of a key at the bearer of a seed."""
+    """Return the 64-bit rendezvous weight of a key for a seed."""
     return xxh64_intdigest(key, seed)
 
 
@@ -67,18 +67,18 @@
 
 @dataclass(slots=True)
 class OwnerTable:
-    """Owner and second-ranked host of every flow, for one membership view."""
+    """Owner and backup host of every flow, for one membership view."""
 
-    #: Host ids that may own flows, sorted, so that equal views are equal rings.
+    #: Host ids that may own flows, sorted, so that equal views compare equal.
     members: tuple[str, ...] = ()
     #: Index of each member.
     positions: dict[str, int] = field(default_factory=dict)
-    #: Grows with each view, so that what was learnt under an older one shows.
+    #: Incremented with each view; marks what was learned under an older one.
     version: int = 0
     slots: dict[int, tuple[str | None, str | None]] = field(default_factory=dict)
 
     def owner_and_backup(self, flow: FlowKey) -> tuple[str | None, str | None]:
-        """Return the owner of a flow and the host that would own it next."""
+        """Return the owner and the backup host of a flow."""
         slot = xxh64_intdigest(flow) % OWNER_SLOTS
         pair = self.slots.get(slot)
         if pair is None:
@@ -87,14 +87,14 @@
         return pair
 
     def rank_slot(self, slot: int) -> tuple[str | None, str | None]:
-        """Return the two highest members for a slot; None where there are too few."""
+        """Return owner and backup host for a slot; None if there are too few hosts."""
         order = ranked(slot.to_bytes(4, "big"), self.members)
         owner = order[0] if order else None
-        second = order[1] if len(order) > 1 else None
-        return owner, second
+        backup = order[1] if len(order) > 1 else None
+        return owner, backup
 
     def update(self, members: Iterable[str]) -> bool:
-        """Take a new view; return whether it differs from the last."""
+        """Replace the members; return whether they changed."""
         view = tuple(sorted(members))
         if view == self.members:
             return False
--- a/citronspring/tables.py
+++ b/citronspring/tables.py
@@ -1,4 +1,4 @@
-"""Tables of runtime rows that the systems run over."""
+"""Tables of runtime state that the systems operate on."""
 
 from __future__ import annotations
 
@@ -27,63 +27,64 @@
 if TYPE_CHECKING:
     from citronspring.messages import Packet
 
-#: Seconds over which flows touched by packets share one deadline object. A flow
-#: lives up to this much shorter than configured and needs no float of its own.
+#: Seconds during which all flows that receive packets share one deadline object. It
+#: saves a float per flow; a flow may expire up to this much earlier than configured.
 DEADLINE_RESOLUTION = 1.0
 
-#: Seconds between two packets of a datagram flow that go by the second host, so
-#: that its copy of the binding does not run out before the flow does.
+#: Seconds between two packets of a datagram flow that are sent via the backup host, so
+#: that the backup binding does not expire before the flow does.
 BACKUP_REFRESH_INTERVAL = 30.0
 
 #: Width in seconds of one bucket of the expiry wheel.
 WHEEL_BUCKET_WIDTH = 4.0
 
-#: Seconds after which a flow is looked at again, however long it may yet live.
+#: Seconds after which the deadline of a flow is checked again, even if it is later.
 RECHECK_INTERVAL = 64.0
 
 
 class FlowState(IntEnum):
-    """How far a flow has come; plain integers in the rows."""
+    """State of a flow; stored as plain integers in the rows."""
 
     #: A target was chosen and has not answered.
     OPENING = 1
     #: The target answered the SYN; the caller has not yet confirmed it.
     ANSWERED = 2
     ESTABLISHED = 3
-    #: Closed; the tuple stays pinned so that a late answer finds no new flow.
+    #: Closed; the tuple stays bound so that a late answer does not reach a new flow.
     CLOSING = 4
-    #: A copy of the binding, held for the owner.
+    #: Backup binding, kept for the owner.
     BACKUP = 5
-    #: Bound on another host's word; the target has not yet sent data of the flow.
+    #: Bound to a target that another host or an answer named; the target has not yet
+    #: sent data of the flow.
     UNVERIFIED = 6
-    #: Bound on another's word that a reset belied; the next packet starts a walk.
+    #: An unverified binding that a reset contradicted; the next packet starts a search.
     CONTRADICTED = 7
 
 
 @dataclass(slots=True, eq=False)
 class AccountRow:
-    """A client account with its counts on this host."""
+    """A client account and its counts on this host."""
 
     account: Account
     #: Every target that may hold flows: active, starting or leaving.
     targets: list[TargetRow] = field(default_factory=list)
-    #: Flows this host owns and that are not closed.
+    #: Open flows that this host owns.
     open_flows: int = 0
-    #: None while no owner is pressed.
+    #: None while the quota of the account is not contended.
     lending: QuotaLending | None = None
-    openings: GcraLimiter = field(default_factory=GcraLimiter)
-    #: Retries of openings that may still be made.
+    opening_limiter: GcraLimiter = field(default_factory=GcraLimiter)
+    #: Opening retries that may still be made.
     retry_balance: float = 10.0
-    #: Shared deadline objects, renewed once a ``DEADLINE_RESOLUTION``.
+    #: Shared deadline objects, renewed once per ``DEADLINE_RESOLUTION``.
     tcp_deadline: float = 0.0
     udp_deadline: float = 0.0
     refresh_deadline: float = 0.0
     deadlines_renewed_until: float = -1.0
-    #: Time from which the account counts as idle: no timer, probe or gossip.
+    #: Time from which the account counts as idle: no timers, probes or load reports.
     idle_from: float = 0.0
 
     def renew_deadlines(self, now: float) -> None:
-        """Set the deadlines that flows touched from now on take over."""
+        """Renew the deadlines given to flows that receive packets from now on."""
         limits = self.account.limits
         self.tcp_deadline = now + limits.tcp_idle_timeout
         self.udp_deadline = now + limits.udp_idle_timeout
@@ -93,52 +94,52 @@
 
 @dataclass(slots=True, eq=False)
 class TargetRow:
-    """A target with what this host counts and believes of it."""
+    """A target with this host's counts and its view of the target's health."""
 
     target: Target
     account: AccountRow
     seed: int
-    #: Open flows this host has placed or found on it.
+    #: Open flows of this host on the target, placed or learned.
     flows: int = 0
     #: Open flows at other hosts, as they report them.
     remote_flows: float = 0.0
-    #: New flows are placed only from this time on: every host must know the
-    #: target first, or a host that does not would take its flows for lost.
+    #: New flows are placed only from this time on. All hosts must know the target by
+    #: then: a host that does not could not find the flows on it.
     placeable_from: float = 0.0
-    #: Until this time the target is being warmed up and takes a growing share.
+    #: End of the target's slow start; until then its share of new flows grows.
     warm_at: float = 0.0
-    #: When this host asks its health endpoint next, if it is one of the probers.
+    #: Time of this host's next health probe, if it is one of the target's probers.
     probe_at: float = 0.0
-    #: What is held against it; shared by all rows of which nothing is known.
+    #: Health state; one object is shared by all targets without any health data.
     health: HealthState = field(default_factory=lambda: UNKNOWN_HEALTH)
 
     def writable_health(self) -> HealthState:
-        """Return the health state of this row alone, to be changed."""
+        """Return this row's own health state, to be modified (copy on write)."""
         if self.health is UNKNOWN_HEALTH:
             self.health = HealthState()
         return self.health
 
     @classmethod
     def from_target(cls, target: Target, account: AccountRow) -> TargetRow:
-        """Make the row of a newly configured target."""
+        """Create the row of a newly configured target."""
         return cls(target, account, seed_of(target.target_id))
 
 
 @dataclass(slots=True, eq=False)
 class FlowRow:
-    """Where a flow goes. Kept small: there are hundreds of thousands."""
+    """Binding of a flow. Kept small, as a host holds hundreds of thousands."""
 
     target: TargetRow
     state: int
-    #: Forgotten at this time unless a packet comes first; shared objects.
+    #: Expiry time if no packet arrives before; the objects are shared.
     deadline: float
-    #: From this time the next datagram goes by the second host.
+    #: From this time on the next datagram is sent via the backup host.
     refresh_at: float
     #: Bits: 1 caller sent FIN, 2 target sent FIN.
     fin_flags: int = 0
-    #: Packets of the flow that other hosts relayed here, for hints.
+    #: Packets of the flow that other hosts relayed here, counted for hints.
     relays: int = 0
-    #: The wheel bucket that will look at the flow; entries elsewhere are stale.
+    #: Wheel bucket in which the flow is checked; its keys in other buckets are stale.
     bucket: list[FlowKey] | None = None
 
     @property
@@ -149,13 +150,13 @@
 
 @dataclass(slots=True, eq=False)
 class OpeningRow:
-    """An opening that no caller has confirmed yet."""
+    """An opening that the caller has not confirmed yet."""
 
-    #: The opening packet, kept to try another target.
+    #: The SYN or first datagram, kept for retries on another target.
     packet: Packet
     #: Targets tried so far, the current one last.
     tried: list[TargetRow]
-    #: The current target has until then to answer.
+    #: Time by which the current target has to answer.
     attempt_deadline: float
     #: The caller is refused at this time.
     deadline: float
@@ -172,56 +173,56 @@
 
 @dataclass(slots=True, eq=False)
 class SearchRow:
-    """A search for the target that holds a flow this host does not know."""
+    """A search for the target that holds a flow unknown to this host."""
 
     account: AccountRow
     candidates: list[TargetRow]
-    #: Packets held; the first is the one the candidates are asked with.
+    #: Held packets; the first one is used to probe the candidates.
     packets: list[Packet]
-    #: The walk gives up, silently, at this time.
+    #: The search ends at this time without an answer to the caller.
     deadline: float
-    #: The current candidate, or the second-ranked host, has until then.
+    #: Time by which the current candidate, or the backup host, has to answer.
     attempt_deadline: float
-    #: Index of the current candidate; -1 while the second-ranked host is asked.
+    #: Index of the current candidate; -1 while the backup host is queried.
     position: int = -1
-    #: Target ids that answered with a reset.
+    #: Ids of the targets that answered with a reset.
     resets: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
 class HintRow:
-    """Leave to forward packets of a flow that another host owns."""
+    """Permission to forward packets of a flow that another host owns."""
 
     target: TargetRow
     deadline: float
-    #: Version of the ring the hint was made under.
+    #: Version of the owner table under which the hint was given.
     owners_version: int
 
 
 @dataclass(slots=True, eq=False)
 class HostRow:
-    """An entry host as this host sees it."""
+    """A host as this host sees it."""
 
     host: Host
     state: HostState = HostState.ALIVE
     incarnation: int = 0
-    #: Highest configuration revision the host has told of.
+    #: Highest configuration revision that the host has reported.
     revision: int = 0
-    #: A suspect is held dead from this time.
+    #: A suspect host is declared dead at this time.
     suspect_until: float = 0.0
-    #: A dead host is forgotten at this time.
+    #: A dead host is removed at this time.
     forget_at: float = 0.0
 
 
 @dataclass(slots=True)
 class FlowTable:
-    """Flows by key, with a wheel of keys by the time they may expire."""
+    """Flows by key, with a timer wheel of keys by expiry time."""
 
     rows: AccountRows[FlowRow] = field(default_factory=AccountRows)
     wheel: dict[int, list[FlowKey]] = field(default_factory=dict)
 
     def add(self, flow: FlowKey, row: FlowRow, now: float) -> None:
-        """Add a row, and have it looked at when its deadline has passed."""
+        """Add a row and schedule the check of its deadline."""
         earlier = self.rows.get(flow)
         if earlier is not None:
             row.bucket = earlier.bucket
@@ -229,11 +230,11 @@
         self.schedule(flow, row, now)
 
     def schedule(self, flow: FlowKey, row: FlowRow, now: float) -> None:
-        """Have the flow looked at once its deadline has passed, or earlier.
+        """Schedule a check of the flow at its deadline, or earlier.
 
-        A key stays in its bucket after its flow is closed. Were it first looked at
-        when the idle time of an hour has passed, the keys of an hour of short
-        flows would pile up.
+        The check comes after ``RECHECK_INTERVAL`` at the latest. A key stays in its
+        bucket after its flow is closed: with the idle timeout of an hour as the only
+        limit, the keys of one hour of short flows would accumulate.
         """
         look_at = min(row.deadline, now + RECHECK_INTERVAL)
         position = int(look_at // WHEEL_BUCKET_WIDTH) + 1
@@ -247,41 +248,42 @@
 class Tables:
     """All state of one decision core."""
 
-    #: This host's own id.
+    #: Id of this host.
     host_id: str
-    #: This host's availability zone.
+    #: Availability zone of this host.
     zone: str
     #: Fabric group: hosts that may receive each other's packets.
     group: str
-    #: Highest number of flow rows; beyond it new flows are refused.
+    #: Maximum number of flow rows; new flows beyond it are refused.
     max_flows: int
     #: Highest configuration revision applied.
     revision: int = 0
     hosts: dict[str, HostRow] = field(default_factory=dict)
     owners: OwnerTable = field(default_factory=OwnerTable)
     accounts: dict[str, AccountRow] = field(default_factory=dict)
-    #: The client accounts with something to do; the others cost no time.
+    #: Client accounts with recent activity; periodic systems skip the others.
     active_accounts: dict[str, AccountRow] = field(default_factory=dict)
     services: dict[ServiceKey, AccountRow] = field(default_factory=dict)
-    #: Addresses that an account gave up and nobody has: open flows live on.
+    #: Service addresses that were withdrawn from an account and have no other; open
+    #: flows continue.
     retired: dict[ServiceKey, AccountRow] = field(default_factory=dict)
     targets: dict[str, TargetRow] = field(default_factory=dict)
-    #: Target ids by the address their tunnel packets come from.
+    #: Target ids by the source address of their tunnel packets.
     targets_by_ip: dict[str, str] = field(default_factory=dict)
     flows: FlowTable = field(default_factory=FlowTable)
     openings: AccountRows[OpeningRow] = field(default_factory=AccountRows)
     searches: AccountRows[SearchRow] = field(default_factory=AccountRows)
     hints: dict[FlowKey, HintRow] = field(default_factory=dict)
     loads: LoadTable = field(default_factory=LoadTable)
-    #: Members of the ring of whose flows nothing fresh is known.
+    #: Owners whose flow counts are missing or outdated.
     silent_peers: int = 0
     #: Packets, drops and decisions by name.
     counters: Counter[str] = field(default_factory=Counter)
     #: Time by which a leaving host exits; None while it stays.
     leave_deadline: float | None = None
-    #: The last time a packet or relay arrived, to tell when a leaver is quiet.
+    #: Time of the last packet or relay; tells whether a leaving host still has traffic.
     last_packet_at: float = 0.0
-    #: Wheel buckets before this one have been looked at.
+    #: Wheel buckets before this one have been processed.
     wheel_position: int = 0
     membership: MembershipTable = field(
         default_factory=lambda: MembershipTable(HashedRandomSource(0))
