--- a/citronspring/systems/expiry.py
+++ b/citronspring/systems/expiry.py
@@ -1,4 +1,4 @@
-"""Expiry: forgetting flows and hints whose stored deadline has passed."""
+"""Expiry of flows and hints whose stored deadline has passed."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
     from citronspring.entities import FlowKey
     from citronspring.tables import Tables
 
-#: Hints looked at a tick.
+#: Maximum number of hints checked per tick.
 HINTS_PER_TICK = 1024
 
 
 def expire_flows(tables: Tables, now: float) -> None:
-    """Look at the flows of every wheel bucket whose time has come."""
+    """Check the flows of every wheel bucket whose time has come."""
     position = int(now // WHEEL_BUCKET_WIDTH)
     for due in sorted(key for key in tables.flows.wheel if key <= position):
         bucket = tables.flows.wheel.pop(due)
@@ -27,7 +27,7 @@
 def expire_flow(
     tables: Tables, flow: FlowKey, bucket: list[FlowKey], now: float
 ) -> None:
-    """Forget a flow whose deadline has passed; else look again later."""
+    """Remove a flow whose deadline has passed; else schedule another check."""
     row = tables.flows.rows.get(flow)
     if row is None or row.bucket is not bucket:
         return
@@ -38,7 +38,7 @@
 
 
 def expire_hints(tables: Tables, now: float) -> None:
-    """Drop hints that ran out, oldest first."""
+    """Drop expired hints, oldest first."""
     for _ in range(HINTS_PER_TICK):
         flow = next(iter(tables.hints), None)
         if flow is None or tables.hints[flow].deadline > now:
--- a/citronspring/systems/health.py
+++ b/citronspring/systems/health.py
@@ -1,8 +1,8 @@
-"""Health: which targets new flows keep away from, and for how long.
+"""Target health: which targets get no new flows, and for how long.
 
-What this owner sees of its own openings comes first; endpoints lag and mislead, so
-what they say only weighs, unless both probers agree and no opening shows otherwise.
-Streams that are open stay where they are, whatever is decided here.
+The results of this owner's own openings take precedence. Health endpoints can be slow
+or wrong, so their reports only change the load factor, unless both probers agree and no
+opening contradicts them. Open flows stay on their targets in any case.
 """
 
 from __future__ import annotations
@@ -17,28 +17,29 @@
     from citronspring.messages import Action, ProbeResult
     from citronspring.tables import AccountRow, Tables, TargetRow
 
-#: Openings in a row without an answer after which a target is ejected.
+#: Consecutive openings without an answer after which a target is ejected.
 FAILURES_TO_EJECT = 3
 
-#: Seconds of the first ejection; each one in a row lasts twice as long.
+#: Seconds of the first ejection; each consecutive one lasts twice as long.
 EJECTION_TIME = 2.0
 EJECTION_TIME_MAX = 60.0
 
-#: Seconds a target must answer before its earlier ejections are forgiven. A
-#: target that flaps faster is ejected for longer and longer.
+#: Seconds a target must answer before its count of ejections is reset. A target that
+#: flaps faster is ejected for longer and longer.
 EJECTION_RESET_TIME = 60.0
 
-#: Seconds between two trial flows of one owner on a target that was ejected;
-#: longer than an opening attempt, so that one trial is over before the next.
+#: Seconds between two trial flows of one owner on an ejected target. This is longer
+#: than an opening attempt, so that one trial is over before the next.
 TRIAL_INTERVAL = 1.0
 
 #: Seconds between two trial flows on a target that only its probers call unhealthy.
 DISPUTED_TRIAL_INTERVAL = 5.0
 
-#: Seconds over which a new or returning target takes a growing share of load.
+#: Seconds of slow start of a new or returning target, during which its share of load
+#: grows.
 SLOW_START_TIME = 30.0
 
-#: Share of load at which the ramp begins.
+#: Share of load at which slow start begins.
 SLOW_START_SHARE = 0.1
 
 #: Hosts that probe each target.
@@ -47,22 +48,22 @@
 #: Seconds between two probes of a target by one prober.
 PROBE_INTERVAL = 2.0
 
-#: Results in a row that a prober needs to change its mind.
+#: Consecutive results after which a prober changes its report.
 PROBES_TO_CHANGE = 2
 
-#: Seconds a probe's result counts; two probes may be lost.
+#: Seconds for which a probe's result is valid; two probes may be lost.
 REPORT_LIFETIME = 7.0
 
-#: How much a reported load of 1.0 makes a target look fuller. Small, since load
-#: endpoints lag: more would swing flows to and fro between targets.
+#: Increase of a target's load factor at a reported load of 1.0. Small, since load
+#: endpoints lag: a larger one would make flows oscillate between targets.
 LOAD_WEIGHT = 0.1
 
-#: How much fuller a target looks that a prober alone calls unhealthy.
+#: Factor on the load of a target that only probers call unhealthy.
 UNHEALTHY_WEIGHT = 2.0
 
 
 def note_answer(row: TargetRow, now: float) -> None:
-    """A target answered an opening: whatever was held against it is past."""
+    """Record that a target answered an opening, and end its probation."""
     health = row.writable_health()
     health.failures = 0
     health.answered_at = now
@@ -74,7 +75,7 @@
 
 
 def note_failure(tables: Tables, row: TargetRow, now: float) -> None:
-    """A target refused an opening, left it unanswered, or was not reached."""
+    """Record that a target refused an opening, did not answer or was unreachable."""
     health = row.writable_health()
     if health.ejected_until > now:
         return
@@ -84,24 +85,24 @@
 
 
 def eject(tables: Tables, row: TargetRow, now: float) -> None:
-    """Keep new flows away from a target, longer each time."""
+    """Exclude a target from new flows, for longer each time."""
     health = row.writable_health()
     if not health.on_probation and health.ejections_reset_at <= now:
         health.ejections = 0
     health.on_probation = True
-    lasting = min(EJECTION_TIME_MAX, EJECTION_TIME * 2**health.ejections)
+    duration = min(EJECTION_TIME_MAX, EJECTION_TIME * 2**health.ejections)
     health.ejections += 1
     health.failures = 0
-    health.ejected_until = now + lasting
+    health.ejected_until = now + duration
     health.trial_until = 0.0
     tables.counters["targets.ejected"] += 1
 
 
 def is_excluded(tables: Tables, row: TargetRow, now: float) -> bool:
-    """Whether new flows keep away from the target, as long as others are left.
+    """Whether the target gets no new flows as long as others are available.
 
-    An ejected target is tried again by one flow at a time: were all let in at
-    once, every caller of that moment would wait for a target that still fails.
+    An ejected target is retried with one flow at a time. If all were admitted at once,
+    every caller of that moment would wait for a target that still fails.
     """
     health = row.health
     if health.ejected_until > now:
@@ -110,12 +111,12 @@
         return health.trial_until > now or row.account.retry_balance < 1.0
     if health.prober_reports is None or not probers_agree(tables, row, now):
         return False
-    # Without a trial now and then no opening could ever prove both probers wrong.
+    # Without occasional trial flows no opening could prove both probers wrong.
     return health.trial_until > now
 
 
 def note_placed(row: TargetRow, now: float) -> None:
-    """A new flow was placed on the target: it is the trial, if one is due."""
+    """Record that a new flow was placed on the target, as the trial if one is due."""
     health = row.health
     if health.on_probation:
         health.trial_until = now + TRIAL_INTERVAL
@@ -124,7 +125,7 @@
 
 
 def discard_reports(row: TargetRow) -> None:
-    """Forget what an idle account's target need not be remembered for."""
+    """Discard the prober reports of an idle account's target."""
     row.health.prober_reports = None
     if not row.health.on_probation:
         row.health = UNKNOWN_HEALTH
@@ -132,38 +133,40 @@
 
 def probers_agree(tables: Tables, row: TargetRow, now: float) -> bool:
     """Whether all probers call the target unhealthy and no opening disproves it."""
-    notes = current_reports(row, now)
+    reports = current_reports(row, now)
     needed = min(PROBERS, len(tables.owners.members))
-    if len(notes) < needed or any(note.healthy for note in notes):
+    if len(reports) < needed or any(report.healthy for report in reports):
         return False
-    return row.health.answered_at < min(note.since for note in notes)
+    return row.health.answered_at < min(report.since for report in reports)
 
 
 def current_reports(row: TargetRow, now: float) -> list[ProberReport]:
-    """Return what probers said of the target lately."""
+    """Return the reports about the target that are still valid."""
     if row.health.prober_reports is None:
         return []
-    return [note for note in row.health.prober_reports.values() if note.deadline > now]
+    return [
+        report for report in row.health.prober_reports.values() if report.deadline > now
+    ]
 
 
 def load_factor(row: TargetRow, now: float) -> float:
-    """Return how much fuller than it is the target is to look to new flows."""
+    """Return the factor applied to the target's load in placement."""
     weight = 1.0
     if row.warm_at > now:
         weight /= max(SLOW_START_SHARE, 1.0 - (row.warm_at - now) / SLOW_START_TIME)
     if row.health.prober_reports is None:
         return weight
-    notes = current_reports(row, now)
-    loads = [note.load for note in notes if note.load is not None]
+    reports = current_reports(row, now)
+    loads = [report.load for report in reports if report.load is not None]
     if loads:
         weight *= 1.0 + LOAD_WEIGHT * sum(loads) / len(loads)
-    if any(not note.healthy for note in notes):
+    if any(not report.healthy for report in reports):
         weight *= UNHEALTHY_WEIGHT
     return weight
 
 
 def next_trial_at(account: AccountRow, now: float) -> float | None:
-    """Return when the first target out of service is tried again, if one is."""
+    """Return when the first excluded target is tried again; None if none is."""
     times = [
         max(row.health.ejected_until, row.placeable_from) for row in account.targets
     ]
@@ -174,7 +177,7 @@
 
 
 def request_probes(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Ask for the probes that are due of active accounts' targets."""
+    """Request the probes that are due for targets of active accounts."""
     for account in tables.active_accounts.values():
         for row in account.targets:
             if row.probe_at <= now and row.target.health is not None:
@@ -185,10 +188,10 @@
 
 def next_probe(tables: Tables, row: TargetRow, now: float) -> float:
     """Return the next probe time; hashed, so that probes do not come in bursts."""
-    spread = score(tables.host_id.encode(), row.seed) % 1000 / 1000
-    phase = spread * PROBE_INTERVAL
-    passed = (now - phase) // PROBE_INTERVAL + 1
-    return phase + passed * PROBE_INTERVAL
+    fraction = score(tables.host_id.encode(), row.seed) % 1000 / 1000
+    phase = fraction * PROBE_INTERVAL
+    periods = (now - phase) // PROBE_INTERVAL + 1
+    return phase + periods * PROBE_INTERVAL
 
 
 def is_prober(tables: Tables, row: TargetRow) -> bool:
@@ -198,17 +201,17 @@
 
 
 def record_probe_result(tables: Tables, event: ProbeResult, now: float) -> None:
-    """Keep a probe's result; a change of mind takes several in a row."""
+    """Record a probe's result; the report changes after several in a row."""
     row = tables.targets.get(event.target_id)
     if row is None:
         return
-    note = (row.health.prober_reports or {}).get(tables.host_id)
+    report = (row.health.prober_reports or {}).get(tables.host_id)
     healthy = event.healthy
     contrary = 0
-    if note is not None and note.healthy != healthy:
-        contrary = note.contrary_results + 1
+    if report is not None and report.healthy != healthy:
+        contrary = report.contrary_results + 1
         if contrary < PROBES_TO_CHANGE:
-            healthy = note.healthy
+            healthy = report.healthy
         else:
             contrary = 0
     deadline = now + REPORT_LIFETIME
@@ -225,7 +228,7 @@
     now: float,
     deadline: float,
 ) -> None:
-    """Keep what a prober says of a target."""
+    """Store a prober's report about a target."""
     health = row.writable_health()
     if health.prober_reports is None:
         health.prober_reports = {}
@@ -237,7 +240,7 @@
 
 
 def record_unreachable(tables: Tables, target_id: str, now: float) -> None:
-    """The network said that a target's tunnel takes no packets."""
+    """Record that the network reported a target's tunnel as unreachable."""
     row = tables.targets.get(target_id)
     if row is not None:
         note_failure(tables, row, now)
--- a/citronspring/systems/idle.py
+++ b/citronspring/systems/idle.py
@@ -1,9 +1,9 @@
-"""Idle accounts: a client account without flows is a row that costs no time.
+"""Idle accounts: a client account without flows costs no processing time.
 
-Systems that act on time run over ``Tables.active_accounts`` alone. An account is
-in it from its first packet until it has held no row of any table for a while. Its
-health state is kept as stored deadlines, so a packet that wakes it is served at
-once; the opening itself checks the target that was last seen to fail.
+Periodic systems process only ``Tables.active_accounts``. An account is active from its
+first packet until it has had no row in any table for a while. Its health state is
+stored as deadlines, so the packet that activates it is served immediately; the opening
+itself tests a target that failed last.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def activate(tables: Tables, account: AccountRow, now: float) -> None:
-    """Have the account looked at by the systems that act on time."""
+    """Make the account active, so that periodic systems process it."""
     account_id = account.account.account_id
     if account_id in tables.active_accounts:
         return
@@ -29,13 +29,13 @@
 
 
 def extend_activity(tables: Tables, account: AccountRow, now: float) -> None:
-    """Have the account looked at for a while, though it holds no row here."""
+    """Keep the account active for a while, though it has no row here."""
     activate(tables, account, now)
     account.idle_from = now + IDLE_AFTER
 
 
 def deactivate_idle_accounts(tables: Tables, now: float) -> None:
-    """Take accounts that did nothing for long off the list of active ones."""
+    """Deactivate accounts that have been idle for ``IDLE_AFTER`` seconds."""
     due = [row for row in tables.active_accounts.values() if row.idle_from <= now]
     for account in due:
         if is_in_use(tables, account):
@@ -45,7 +45,7 @@
 
 
 def is_in_use(tables: Tables, account: AccountRow) -> bool:
-    """Whether the account holds a row of any table."""
+    """Whether the account has a row in any table."""
     return (
         account in tables.flows.rows.row_counts
         or account in tables.openings.row_counts
@@ -54,7 +54,7 @@
 
 
 def deactivate(tables: Tables, account: AccountRow) -> None:
-    """Drop what only an active account needs; stored deadlines stay true."""
+    """Discard what only an active account needs; stored deadlines stay valid."""
     del tables.active_accounts[account.account.account_id]
     if account.lending is not None:
         account.lending.peer_usage.clear()
--- a/citronspring/systems/loads.py
+++ b/citronspring/systems/loads.py
@@ -1,8 +1,8 @@
-"""Loads: owners tell each other what they placed, within a byte budget.
+"""Loads: owners report their flow counts to each other within a byte budget.
 
-Twice a second a host tells one peer, each in turn, what changed since it last told
-that peer. What peers told is summed up in the target rows; it vanishes with the
-peer, or when it was not repeated for long.
+Twice a second a host sends one peer, each in turn, what has changed since its last
+message to that peer. Received counts are summed up in the target rows. They are removed
+when the peer leaves the owner table, or when they are not repeated for long.
 """
 
 from __future__ import annotations
@@ -24,42 +24,42 @@
 #: Seconds between two messages of a host.
 SEND_INTERVAL = 0.5
 
-#: Bytes of entries in one message. With the envelope and the headers of two
-#: datagrams a second, a host spends about 1 KB/s.
+#: Bytes of entries in one message. With the envelope and the headers of two datagrams a
+#: second, a host sends about 1 KB/s.
 MESSAGE_BYTES = 384
 
-#: Bytes of an entry beside its id.
+#: Bytes of an entry in addition to its id.
 ENTRY_BYTES = 9
 
-#: Account uses of one message; loads are left room.
+#: Maximum number of account uses in one message, so that there is room for loads.
 MAX_USE_ENTRIES = 6
 
-#: Seconds after which an unchanged entry is told again, as datagrams get lost.
+#: Seconds after which an unchanged entry is sent again, as datagrams get lost.
 REPEAT_INTERVAL = 30.0
 
-#: Seconds that a told count stands; several repetitions.
+#: Seconds for which a received count is valid; covers several repetitions.
 COUNT_LIFETIME = 120.0
 
 #: Seconds without any message after which a peer's flows count as unknown.
 PEER_SILENCE_TIMEOUT = 45.0
 
-#: Each second that an entry waits is as urgent as this many flows of change.
+#: Urgency of each second that an entry waits, in flows of change.
 WAIT_URGENCY = 0.05
 
-#: A probed state is as urgent as this many flows of change.
+#: Urgency of a probed state, in flows of change.
 REPORT_URGENCY = 8.0
 
-#: How much fresh counts of peers matter in placement.
+#: Weight of fresh counts of peers in placement.
 FRESH_WEIGHT = 0.5
 
-#: Counts are fresh if every peer is told all of them within this many seconds.
-#: Older ones make imbalance worse, so that they are neither told nor used.
+#: Counts are fresh if every peer receives all of them within this many seconds. Older
+#: ones make imbalance worse, so they are neither sent nor used.
 FRESH_CYCLE = 10.0
 
-#: Entries that go into one message, for the length of the cycle.
+#: Typical number of entries in one message, used to estimate the length of the cycle.
 TYPICAL_ENTRIES = 18
 
-#: One byte of load stands for 0.0 to 2.0.
+#: One byte of load represents 0.0 to 2.0.
 LOAD_SCALE = 127.5
 LOAD_MAX = 255
 
@@ -73,7 +73,7 @@
 
 
 def send_loads(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Tell the peer whose turn it is what changed."""
+    """Send the next peer in turn what has changed."""
     loads = tables.loads
     if loads.owners_version != tables.owners.version:
         loads.owners_version = tables.owners.version
@@ -98,30 +98,30 @@
 
 
 def is_cycle_short(tables: Tables, peers: int) -> bool:
-    """Whether the budget lets every peer know all counts while they are fresh."""
+    """Whether the budget lets every peer receive all counts while they are fresh."""
     entries = sum(len(row.targets) for row in tables.active_accounts.values())
     messages = peers * (1 + entries // TYPICAL_ENTRIES)
     return messages * SEND_INTERVAL <= FRESH_CYCLE
 
 
 def build_message(tables: Tables, peer: str, now: float) -> Loads:
-    """Return the most urgent entries for a peer, and note them as told."""
+    """Return the most urgent entries for a peer and record them as sent."""
     uses = account_uses(tables, now)
     candidates = candidates_for(tables, peer, now)
     candidates.sort(key=lambda item: item.urgency, reverse=True)
-    used = sum(ENTRY_BYTES + len(use.account_id) for use in uses)
-    entries = first_that_fit(candidates, MESSAGE_BYTES - used)
-    told = tables.loads.last_sent.setdefault(peer, {})
+    use_bytes = sum(ENTRY_BYTES + len(use.account_id) for use in uses)
+    entries = first_that_fit(candidates, MESSAGE_BYTES - use_bytes)
+    sent = tables.loads.last_sent.setdefault(peer, {})
     for entry in entries:
         if entry.flows == 0 and entry.healthy is None:
-            told.pop(entry.target_id, None)
+            sent.pop(entry.target_id, None)
         else:
-            told[entry.target_id] = SentLoad(entry.flows, now)
+            sent[entry.target_id] = SentLoad(entry.flows, now)
     return Loads(tuple(entries), uses)
 
 
 def first_that_fit(candidates: list[Candidate], room: int) -> list[TargetLoad]:
-    """Return the entries from the front that fit into a number of bytes."""
+    """Return the first entries that fit into a number of bytes."""
     entries: list[TargetLoad] = []
     for candidate in candidates:
         room -= ENTRY_BYTES + len(candidate.entry.target_id)
@@ -132,8 +132,8 @@
 
 
 def candidates_for(tables: Tables, peer: str, now: float) -> list[Candidate]:
-    """Return every entry that the peer does not know, with its urgency."""
-    told = tables.loads.last_sent.get(peer, {})
+    """Return every entry that the peer does not have, with its urgency."""
+    sent = tables.loads.last_sent.get(peer, {})
     fresh = tables.loads.weight > 0.0
     found: list[Candidate] = []
     seen: set[str] = set()
@@ -142,13 +142,13 @@
             target_id = row.target.target_id
             seen.add(target_id)
             entry = entry_of(tables, row, now)
-            earlier = told.get(target_id)
+            earlier = sent.get(target_id)
             if earlier is not None and entry.healthy is None and not fresh:
                 continue
             urgency = urgency_of(entry, earlier, now)
             if urgency > 0.0:
                 found.append(Candidate(urgency, entry))
-    for target_id, earlier in told.items():
+    for target_id, earlier in sent.items():
         if target_id not in seen:
             entry = TargetLoad(target_id, 0)
             found.append(Candidate(urgency_of(entry, earlier, now), entry))
@@ -156,49 +156,49 @@
 
 
 def entry_of(tables: Tables, row: TargetRow, now: float) -> TargetLoad:
-    """Return what this host knows of a target at first hand."""
+    """Return this host's own count and probe report of a target."""
     target_id = row.target.target_id
-    note = (row.health.prober_reports or {}).get(tables.host_id)
-    if note is None or note.deadline <= now:
+    report = (row.health.prober_reports or {}).get(tables.host_id)
+    if report is None or report.deadline <= now:
         return TargetLoad(target_id, row.flows)
     load = None
-    if note.load is not None:
-        load = min(LOAD_MAX, max(0, round(note.load * LOAD_SCALE)))
-    return TargetLoad(target_id, row.flows, load, note.healthy)
-
-
-def urgency_of(entry: TargetLoad, told: SentLoad | None, now: float) -> float:
-    """Return how much a peer needs an entry; 0.0 if it need not be told."""
-    noted = REPORT_URGENCY if entry.healthy is not None else 0.0
-    if told is None:
-        return entry.flows + noted
-    waited = now - told.sent_at
-    change = abs(entry.flows - told.flows)
-    if not change and not noted and waited < REPEAT_INTERVAL:
+    if report.load is not None:
+        load = min(LOAD_MAX, max(0, round(report.load * LOAD_SCALE)))
+    return TargetLoad(target_id, row.flows, load, report.healthy)
+
+
+def urgency_of(entry: TargetLoad, sent: SentLoad | None, now: float) -> float:
+    """Return the urgency of an entry for a peer; 0.0 if it need not be sent."""
+    report_urgency = REPORT_URGENCY if entry.healthy is not None else 0.0
+    if sent is None:
+        return entry.flows + report_urgency
+    waited = now - sent.sent_at
+    change = abs(entry.flows - sent.flows)
+    if not change and not report_urgency and waited < REPEAT_INTERVAL:
         return 0.0
-    return change + noted + waited * WAIT_URGENCY
+    return change + report_urgency + waited * WAIT_URGENCY
 
 
 def account_uses(tables: Tables, now: float) -> tuple[AccountUse, ...]:
-    """Return the uses of accounts of which some owner is pressed, some each turn."""
-    pressed = [
+    """Return the next few uses of accounts whose quota is contended, in turn."""
+    contended = [
         (account_id, row)
         for account_id, row in tables.active_accounts.items()
         if is_contended(tables, row, now)
     ]
-    start = tables.loads.messages_sent * MAX_USE_ENTRIES % max(1, len(pressed))
-    chosen = (pressed[start:] + pressed[:start])[:MAX_USE_ENTRIES]
+    start = tables.loads.messages_sent * MAX_USE_ENTRIES % max(1, len(contended))
+    chosen = (contended[start:] + contended[:start])[:MAX_USE_ENTRIES]
     return tuple(
         AccountUse(account_id, next_usage_cap(tables, row, now))
         for account_id, row in chosen
     )
 
 
-# What peers tell ---------------------------------------------------------------
+# Receiving ---------------------------------------------------------------------
 
 
 def receive_loads(tables: Tables, peer: str, message: Loads, now: float) -> None:
-    """Keep what a peer told."""
+    """Store the loads that a peer sent."""
     if peer not in tables.owners.positions or peer == tables.host_id:
         tables.counters["loads.stranger"] += 1
         return
@@ -216,17 +216,17 @@
 def apply_entry(
     tables: Tables, peer: str, row: TargetRow, entry: TargetLoad, now: float
 ) -> None:
-    """Keep a peer's count of a target, and its probed state."""
+    """Store a peer's flow count and probe report of a target."""
     set_count(tables, peer, row, entry.flows, now)
     if entry.flows > 0:
-        # This host may be the one that probes for the peer that has the flows.
+        # This host may be a prober for the peer that has the flows.
         extend_activity(tables, row.account, now)
     if entry.healthy is not None and row.account.account.account_id in (
         tables.active_accounts
     ):
         load = None if entry.load is None else entry.load / LOAD_SCALE
-        turns = len(tables.owners.members) * SEND_INTERVAL
-        deadline = now + 2 * PROBE_INTERVAL + 2 * turns
+        cycle = len(tables.owners.members) * SEND_INTERVAL
+        deadline = now + 2 * PROBE_INTERVAL + 2 * cycle
         record_report(row, peer, entry.healthy, load, now, deadline)
 
 
@@ -244,23 +244,23 @@
 
 
 def expire_counts(tables: Tables, peer: str, now: float) -> None:
-    """Drop counts of a peer that were not repeated."""
+    """Drop counts of a peer that were not repeated in time."""
     counts = tables.loads.counts.get(peer, {})
-    for note in [item for item in counts.values() if item.deadline <= now]:
-        set_count(tables, peer, note.row, 0, now)
+    for count in [item for item in counts.values() if item.deadline <= now]:
+        set_count(tables, peer, count.row, 0, now)
 
 
 def discard_departed_peers(tables: Tables) -> None:
-    """Drop all that hosts told which own nothing any longer.
+    """Drop everything received from hosts that are no longer owners.
 
-    Their flows are counted by the owners that take them over; counted twice, they
-    would keep new flows away from the targets they are on.
+    Their flows are counted by the owners that take them over. If they were counted
+    twice, new flows would avoid the targets they are on.
     """
     loads = tables.loads
     members = tables.owners.positions
     for peer in [name for name in loads.counts if name not in members]:
-        for note in loads.counts.pop(peer).values():
-            note.row.remote_flows -= note.flows
+        for count in loads.counts.pop(peer).values():
+            count.row.remote_flows -= count.flows
     for peer in [name for name in loads.valid_until if name not in members]:
         del loads.valid_until[peer]
     for peer in [name for name in loads.last_sent if name not in members]:
@@ -268,10 +268,10 @@
 
 
 def count_silent_peers(tables: Tables, now: float) -> None:
-    """Count the owners of whose flows nothing fresh is known."""
-    heard = tables.loads.valid_until
+    """Count the owners whose flow counts are missing or outdated."""
+    peer_validity = tables.loads.valid_until
     tables.silent_peers = sum(
-        heard.get(name, 0.0) <= now
+        peer_validity.get(name, 0.0) <= now
         for name in tables.owners.members
         if name != tables.host_id
     )
--- a/tests/test_systems/test_expiry.py
+++ b/tests/test_systems/test_expiry.py
@@ -1,4 +1,4 @@
-"""Expiry: rows, wheel and counts go back to nothing, whatever happened."""
+"""Expiry: rows, wheel and counts return to zero after any history of events."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from tests.conftest import make_account
 from tests.test_systems import driver
 
-#: A bound after which nothing of any flow may be left: the longest idle time.
+#: Time after which no flow may have left anything: the longest idle time-out, and more.
 FOREVER = 3600.0 + 2 * RECHECK_INTERVAL
 
 PORTS = (40_000, 40_001, 40_002, 40_003)
@@ -44,7 +44,7 @@
 
 
 def check_wheel(core, now):
-    """Every row must be in a bucket that is still to come, and not long off."""
+    """Check that every row is in a bucket that is still due, and soon."""
     flows = core.tables.flows
     for key, row in flows.rows.items():
         places = [due for due, bucket in flows.wheel.items() if bucket is row.bucket]
@@ -54,7 +54,7 @@
 
 
 class FlowHistories(RuleBasedStateMachine):
-    """Any packets and relays, in any order, with hosts and targets changing."""
+    """Any packets and relays, in any order, with changes of hosts and targets."""
 
     def __init__(self):
         super().__init__()
@@ -168,7 +168,7 @@
 
 
 def test_flow_lives_while_it_is_used(snapshot):
-    """A tracer screen stays open all night on one packet every half hour."""
+    """A connection with one packet every half hour stays open all night."""
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
     driver.open_flow(core, flow)
@@ -187,10 +187,10 @@
 
 
 def test_closed_flows_leave_no_keys_behind(snapshot):
-    """A host that serves thousands of short flows a second stays small.
+    """Memory stays bounded on a host that serves thousands of short flows a second.
 
-    Each flow's key is in the bucket of its deadline, an hour off. Closed flows left
-    theirs there, and an hour of keys came to hundreds of megabytes.
+    Keys of closed flows used to stay in the bucket of their deadline, an hour away. The
+    keys of one hour took hundreds of megabytes.
     """
     core = driver.make_core(snapshot)
     now = 0.0
--- a/tests/test_systems/test_health.py
+++ b/tests/test_systems/test_health.py
@@ -1,4 +1,4 @@
-"""Health: ejection, trials, panic, ramps, probes, and what endpoints may say."""
+"""Target health: ejection, trials, panic threshold, slow start and probes."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from tests.conftest import make_account
 from tests.test_systems import driver
 
-#: Late enough for every target of a new core to be warm.
+#: Time at which slow start is over for every target of a new core.
 WARM = 100.0
 FAILING = "bundelpers-0"
 
 
 class Callers:
-    """Opens flows one after the other; named targets shed or do not answer."""
+    """Opens flows one after the other; named targets refuse or do not answer."""
 
-    def __init__(self, core, shedding=(), frozen=()):
+    def __init__(self, core, shedding=(), unresponsive=()):
         self.core = core
         self.shedding = set(shedding)
-        self.frozen = set(frozen)
+        self.unresponsive = set(unresponsive)
         self.port = 1024
         self.offered = Counter()
         self.placed = Counter()
@@ -44,7 +44,7 @@
             self.answer(actions, now)
 
     def answer(self, actions, now):
-        """Play the targets' part until nothing is left to answer."""
+        """Answer as the targets do until nothing is left to answer."""
         while actions:
             action = actions.pop(0)
             if isinstance(action, Refuse):
@@ -55,7 +55,7 @@
     def answer_syn(self, action, now):
         flow, target_id = action.packet.flow, action.target_id
         self.offered[target_id] += 1
-        if target_id in self.frozen:
+        if target_id in self.unresponsive:
             return []
         if target_id in self.shedding:
             return self.core.receive(driver.reset(flow, target_id), now)
@@ -81,12 +81,12 @@
     health.record_report(failing_row(core), "host-1", healthy, load, now, deadline)
 
 
-def test_shedding_target_is_left_alone_though_its_endpoint_says_healthy(snapshot):
-    """Readers are served by other servers while one refuses everything.
+def test_refusing_target_is_ejected_though_its_endpoint_reports_healthy(snapshot):
+    """Callers are served by other targets while one refuses everything.
 
-    The target resets every SYN and has the fewest flows, so that it is chosen
-    first each time; its endpoint says healthy. Three refusals eject it. No caller
-    is refused, since each refused opening is retried elsewhere.
+    The target resets every SYN and has the fewest flows, so that it is chosen first
+    each time; its endpoint reports healthy. Three refusals eject it. No caller is
+    refused, since each refused opening is retried on another target.
     """
     core = driver.make_core(snapshot)
     callers = Callers(core, shedding=[FAILING])
@@ -98,12 +98,12 @@
     assert sum(callers.placed.values()) == 100
 
 
-def test_ejected_target_returns_by_one_trial_at_a_time(snapshot):
-    """After its ejection a target gets one caller, not all of them.
+def test_ejected_target_gets_one_trial_flow_at_a_time(snapshot):
+    """After its ejection a target gets one trial flow, not all new flows.
 
-    It still sheds at the first trial and is ejected for twice as long. Then it
-    has recovered: one trial is let in, and while it is unanswered nobody else.
-    The answer lets it ramp up.
+    It still refuses the first trial and is ejected for twice as long. Then it has
+    recovered: one trial is placed, and no other flow until it is answered. The answer
+    begins its slow start.
     """
     core = driver.make_core(snapshot)
     callers = Callers(core, shedding=[FAILING])
@@ -112,25 +112,25 @@
     callers.open(60, again)
     assert callers.offered[FAILING] == health.FAILURES_TO_EJECT + 1
     assert failing_row(core).health.ejected_until == again + 2 * health.EJECTION_TIME
-    callers.shedding, callers.frozen = set(), {FAILING}
+    callers.shedding, callers.unresponsive = set(), {FAILING}
     later = failing_row(core).health.ejected_until
     callers.open(60, later)
     assert callers.offered[FAILING] == health.FAILURES_TO_EJECT + 2
     trial = next(flow for flow, row in core.tables.openings.items())
     core.receive(driver.syn_ack(trial, FAILING), later)
     assert not failing_row(core).health.on_probation
-    callers.frozen = set()
+    callers.unresponsive = set()
     callers.open(7, later)
     assert callers.placed[FAILING] < 7
     assert failing_row(core).warm_at == later + health.SLOW_START_TIME
 
 
-def test_frozen_target_loses_new_flows_and_keeps_its_streams(snapshot):
-    """A preview pauses with its frozen server and goes on; new readers do not wait.
+def test_unresponsive_target_gets_no_new_flows_and_keeps_open_ones(snapshot):
+    """A flow on an unresponsive target stays bound, and new callers do not wait for it.
 
-    The target stops answering, without a reset. Openings given to it time out
-    and are retried; three of them eject it. The stream that is open there stays
-    bound, for the server may wake.
+    The target stops answering, without a reset. Openings placed on it time out and are
+    retried; three of them eject it. The open flow stays bound, as the target may
+    resume.
     """
     core = driver.make_core(snapshot)
     callers = Callers(core)
@@ -140,7 +140,7 @@
         for flow, row in core.tables.flows.rows.items()
         if row.target is failing_row(core)
     )
-    callers.frozen = {FAILING}
+    callers.unresponsive = {FAILING}
     callers.open(28, WARM + 1.0)
     callers.tick(WARM + 1.0 + ATTEMPT_TIMEOUT)
     assert failing_row(core).health.ejected_until > WARM + 2.0
@@ -168,11 +168,11 @@
     assert row.health.ejected_until - now == health.EJECTION_TIME
 
 
-def test_two_healthy_targets_of_seven_carry_the_callers(snapshot):
-    """Most of the office's servers shed at once; the two that work are used.
+def test_two_healthy_targets_of_seven_get_the_new_flows(snapshot):
+    """Most targets refuse at once; the two that work are used.
 
-    Five of seven are ejected, more than half. The two left go first, so that callers
-    do not pay for targets that fail; the five are not forgotten.
+    Five of seven are ejected, more than half. The two others are preferred, so that
+    callers do not wait for failing targets; the five stay available.
     """
     core = driver.make_core(snapshot)
     core.tables.accounts["bundelpers"].retry_balance = 50.0
@@ -183,12 +183,12 @@
     assert sum(callers.offered[f"bundelpers-{n}"] for n in range(5)) <= 15
 
 
-def test_account_is_never_emptied_and_its_last_target_not_overrun(snapshot):
-    """When all targets seem to fail, all are used, and one answer draws no herd.
+def test_account_always_has_targets_and_its_last_one_is_not_overloaded(snapshot):
+    """When all targets fail, all are used, and the first to recover is not overloaded.
 
     A fault near this host made every opening fail, so every target is ejected. New
-    callers are still sent to targets. The first that answers is not given everybody:
-    beyond four times the mean the others are used again.
+    callers are still sent to targets. The first one that answers does not get all
+    flows: above four times the mean the others are used again.
     """
     core = driver.make_core(snapshot)
     for row in core.tables.accounts["bundelpers"].targets:
@@ -219,12 +219,12 @@
     core.receive(TargetUnreachable("nobody"), WARM)
 
 
-def test_prober_alone_cannot_take_a_working_target_out(snapshot):
-    """A server whose endpoint lies goes on serving readers.
+def test_single_prober_cannot_exclude_a_working_target(snapshot):
+    """A target whose health endpoint is wrong keeps serving callers.
 
-    One prober calls it unhealthy: it gets fewer flows. Both do, and no opening
-    has succeeded since: a single trial is let in, nobody else for seconds. One
-    opening that succeeds outweighs both of them.
+    One prober reports it unhealthy: it gets fewer flows. Both do, and no opening has
+    succeeded since: it gets a single trial flow, and no other for seconds. One
+    successful opening outweighs both reports.
     """
     core = driver.make_core(snapshot, hosts=2)
     row = failing_row(core)
@@ -241,7 +241,7 @@
     assert not health.is_excluded(core.tables, row, WARM + 2.0)
 
 
-def test_notes_of_silent_probers_run_out(snapshot):
+def test_reports_of_unresponsive_probers_expire(snapshot):
     core = driver.make_core(snapshot, hosts=2)
     row = failing_row(core)
     probe(core, False, WARM)
@@ -250,8 +250,8 @@
     assert health.load_factor(row, WARM + health.REPORT_LIFETIME) == 1.0
 
 
-def test_prober_needs_two_results_to_change_its_mind(snapshot):
-    """A flapping endpoint does not swing readers to and fro between servers."""
+def test_prober_needs_two_results_to_change_its_report(snapshot):
+    """A flapping endpoint does not make flows oscillate between targets."""
     core = driver.make_core(snapshot, hosts=2)
     row = failing_row(core)
     said = []
@@ -270,10 +270,10 @@
 
 
 def test_new_target_takes_a_growing_share(snapshot):
-    """A server that was just added is not given every new reader at once.
+    """A target that was just added does not get every new flow at once.
 
-    It has no flows, so that it is the least loaded by far; cold, it would stall
-    them all. Its share grows with time until it carries what the others do.
+    It has no flows, so it is the least loaded by far; all flows placed on it while it
+    is cold would stall. Its share grows with time until it equals that of the others.
     """
     core = driver.make_core(snapshot)
     callers = Callers(core)
@@ -312,7 +312,7 @@
     assert all(18 <= number <= 22 for number in probes.values())
 
 
-def test_no_endpoint_no_probe_and_refusal_names_the_return(snapshot):
+def test_target_without_endpoint_is_not_probed_and_refusal_gives_a_retry_time(snapshot):
     core = driver.make_core(Snapshot(1, (make_account(targets=1),)))
     callers = Callers(core, shedding=[FAILING])
     callers.open(3, WARM)
--- a/tests/test_systems/test_idle.py
+++ b/tests/test_systems/test_idle.py
@@ -1,4 +1,4 @@
-"""Idle accounts: they cost no time and no message, and wake without loss."""
+"""Idle accounts: no processing time, no messages, and no loss on activation."""
 
 from __future__ import annotations
 
@@ -37,11 +37,12 @@
     core.receive(driver.fin(flow, target_id), now)
 
 
-def test_idle_account_is_neither_probed_nor_told(snapshot):
-    """The Dead-Letter Office costs nothing while nobody remembers it.
+def test_idle_account_is_neither_probed_nor_reported(snapshot):
+    """An account without flows is neither probed nor reported.
 
-    A flow comes and ends. Until its tuple may be reused and for a while after, the
-    account is probed and its loads are told. Then it sleeps: nothing goes out.
+    A flow is opened and closed. Until its tuple may be reused, and for a while after,
+    the account is probed and its loads are sent. Then it is inactive and nothing is
+    sent.
     """
     account = with_endpoints(make_account())
     core = driver.make_core(Snapshot(1, (account,)), hosts=2)
@@ -62,12 +63,12 @@
         assert not run_timed_systems(core, now + 2.0 + step / 2)
 
 
-def test_first_packet_wakes_the_account_and_is_served(snapshot):
-    """A clerk's correction after a quiet month is not lost.
+def test_first_packet_activates_the_account_and_is_served(snapshot):
+    """The first packet of an account after a long idle time is not lost.
 
-    All targets were ejected when the account fell asleep. Its first packet is
-    sent to one at once: what was held against them is long past, and the opening
-    itself is the check.
+    All targets were ejected when the account became idle. Its first packet is sent to
+    one immediately: the ejections are long past, and the opening itself tests the
+    target.
     """
     core = driver.make_core(snapshot)
     row = core.tables.accounts["bundelpers"]
@@ -79,13 +80,13 @@
     assert list(core.tables.active_accounts) == ["bundelpers"]
 
 
-def test_unknown_flow_wakes_the_account(snapshot):
+def test_unknown_flow_activates_the_account(snapshot):
     core = driver.make_core(snapshot)
     core.receive(driver.from_caller(driver.flow_to(), data=b"page"), 1.0)
     assert "bundelpers" in core.tables.active_accounts
 
 
-def test_copy_of_a_binding_wakes_the_account(snapshot):
+def test_backup_binding_activates_the_account(snapshot):
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core, owner=False)
     event = driver.relayed(
@@ -95,7 +96,7 @@
     assert "bundelpers" in core.tables.active_accounts
 
 
-def test_account_with_an_open_flow_never_sleeps(snapshot):
+def test_account_with_an_open_flow_stays_active(snapshot):
     core = driver.make_core(snapshot)
     driver.open_flow(core, driver.flow_to())
     for step in range(100):
@@ -103,7 +104,7 @@
     assert "bundelpers" in core.tables.active_accounts
 
 
-def test_peers_flows_keep_the_probers_awake(snapshot):
+def test_peers_flows_keep_the_account_active_at_the_probers(snapshot):
     """A target is probed although neither prober has a flow of its own there."""
     core = driver.make_core(snapshot, hosts=2)
     entry = Loads((loads.TargetLoad("bundelpers-0", 3),))
--- a/tests/test_systems/test_limits.py
+++ b/tests/test_systems/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits: parts of owners, promises between them, rates, bounded tables."""
+"""Limits: shares of owners, usage caps between them, rates and bounded tables."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def open_owned(core, count, now=0.0, address="192.0.2.1"):
-    """Open flows the core owns until one is refused; return how many, and it."""
+    """Open owned flows until one is refused; return their number and the refusal."""
     opened, port = 0, 1024
     while opened < count:
         flow = driver.flow_to(address, port)
@@ -50,12 +50,12 @@
 
 
 @given(st.integers(0, 10**6), st.integers(1, 64), st.integers(0, 2**64))
-def test_parts_add_up_to_the_whole(whole, members, seed):
-    parts = [
+def test_shares_add_up_to_the_whole(whole, members, seed):
+    shares = [
         limits.integer_share(whole, members, seed + index) for index in range(members)
     ]
-    assert sum(parts) == whole
-    assert max(parts) - min(parts) <= 1
+    assert sum(shares) == whole
+    assert max(shares) - min(shares) <= 1
 
 
 @given(
@@ -64,11 +64,11 @@
     st.floats(1.0, 5.0),
     st.lists(st.floats(0.0, 1.0), min_size=1, max_size=60),
 )
-def test_coming_back_at_retry_at_is_admitted(now, rate, burst, gaps):
-    """A bookseller's refused browser is told when to come back, and it is true.
+def test_retry_at_the_given_time_is_admitted(now, rate, burst, gaps):
+    """A refused caller that comes back at the given time is admitted.
 
-    Openings come at any pace. Whenever one is refused, ``retry_at`` lies ahead, and
-    an opening at just that time is admitted: rounding must not refuse it again.
+    Openings come at any rate. Whenever one is refused, ``retry_at`` is in the future,
+    and an opening at exactly that time is admitted: rounding must not refuse it again.
     """
     limit = GcraLimiter()
     for gap in gaps:
@@ -81,11 +81,11 @@
 
 
 def test_rate_refusal_is_immediate_and_leaves_nothing():
-    """A caller beyond the account's rate is refused by the answer to its SYN.
+    """A caller above the account's rate is refused in the answer to its SYN.
 
-    One of two owners admits its half of the rate, as a burst, then refuses with
-    the time of the next free place. It keeps neither packet nor row of a refused
-    opening, which is admitted at ``retry_at``.
+    One of two owners admits its half of the rate, as a burst, then refuses with the
+    time of the next free slot. It keeps neither packet nor row of a refused opening,
+    which is admitted at ``retry_at``.
     """
     core = driver.make_core(snapshot_with(new_per_second=20.0), hosts=2)
     opened, refusal = open_owned(core, 100, now=5.0)
@@ -101,10 +101,10 @@
 
 
 def test_owners_together_keep_the_limits_without_asking():
-    """No target gets more than its connections, though no owner knows the others.
+    """No target exceeds its connection limit, though no owner knows the others' flows.
 
-    Four hosts hear nothing of each other and each opens all it may. Their parts
-    add up to the limit of the targets, and then to that of the account.
+    Four hosts receive nothing from each other and each opens as many flows as it may.
+    Their shares add up to the limit of the targets, and then to that of the account.
     """
     cores = make_cores(snapshot_with(targets=2, per_target=11))
     opened = [open_owned(core, 100) for core in cores]
@@ -117,7 +117,7 @@
     assert reasons == {RefusalReason.ACCOUNT_CONNECTIONS}
 
 
-def test_reported_flows_narrow_the_room():
+def test_reported_flows_reduce_the_room():
     core = driver.make_core(snapshot_with(targets=1, per_target=40), hosts=2)
     core.tables.targets["bundelpers-0"].remote_flows = 35
     opened, refusal = open_owned(core, 100)
@@ -125,13 +125,13 @@
     assert refusal.reason is RefusalReason.TARGETS_FULL
 
 
-def test_pressed_owner_uses_what_the_others_leave():
+def test_owner_under_contention_borrows_unused_quota():
     cores = make_cores(snapshot_with(max_connections=80))
     rows = [core.tables.accounts["bundelpers"] for core in cores]
     for core, row in zip(cores[1:], rows[1:], strict=True):
-        told = limits.next_usage_cap(core.tables, row, 0.0)
+        cap = limits.next_usage_cap(core.tables, row, 0.0)
         limits.record_peer_usage(
-            cores[0].tables, rows[0], core.tables.host_id, told, 0.0
+            cores[0].tables, rows[0], core.tables.host_id, cap, 0.0
         )
     opened, _ = open_owned(cores[0], 100, now=1.0)
     assert opened == 20 + 3 * 10 // 3
@@ -139,27 +139,27 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_promises_never_let_owners_exceed_the_limit_together(seed):
-    """An account never holds more flows than its limit, whoever borrows.
+def test_usage_caps_never_let_owners_exceed_the_limit_together(seed):
+    """The open flows of an account never exceed its limit, whoever borrows.
 
-    Four owners want many flows or few in turn, and tell single others what they
-    promise to stay within. Promises come late, out of order, or to one peer and not to
-    another. One owner borrows while another grows: each promise is kept for longer
-    than anybody relies on it, and what was lent is taken back only once returned.
+    Four owners want many flows or few in turn, and announce usage caps to single peers.
+    The caps arrive late, out of order, or at one peer and not at another. One owner
+    borrows while another grows: each cap is kept for longer than any peer relies on it,
+    and what was lent is taken back only once it is returned.
     """
     rng = random.Random(seed)
     cores = make_cores(snapshot_with(max_connections=40))
     rows = [core.tables.accounts["bundelpers"] for core in cores]
     wanted = [0] * HOSTS
-    now, underway, most, rush = 0.0, [], 0, False
+    now, in_transit, most, rush = 0.0, [], 0, False
     for _ in range(1500):
         now += rng.uniform(0.0, 2.0)
-        for due in [item for item in underway if item[0] <= now]:
-            underway.remove(due)
-            _, teller, hearer, told = due
-            name = cores[teller].tables.host_id
+        for due in [item for item in in_transit if item[0] <= now]:
+            in_transit.remove(due)
+            _, announcer, receiver, cap = due
+            name = cores[announcer].tables.host_id
             limits.record_peer_usage(
-                cores[hearer].tables, rows[hearer], name, told, now
+                cores[receiver].tables, rows[receiver], name, cap, now
             )
         host, peer = rng.sample(range(HOSTS), 2)
         core, row = cores[host], rows[host]
@@ -172,36 +172,36 @@
             if limits.admit(core.tables, row, now) is not None:
                 break
             row.open_flows += 1
-        told = limits.next_usage_cap(core.tables, row, now)
-        underway.append(
-            (now + rng.uniform(0.0, limits.MAX_MESSAGE_AGE), host, peer, told)
+        cap = limits.next_usage_cap(core.tables, row, now)
+        in_transit.append(
+            (now + rng.uniform(0.0, limits.MAX_MESSAGE_AGE), host, peer, cap)
         )
         most = max(most, row.open_flows)
         assert sum(row.open_flows for row in rows) <= 40
     assert most > 10
 
 
-def test_promise_is_not_widened_while_a_peer_may_rely_on_it():
-    """A peer that missed the wider promise would still use what is taken back.
+def test_usage_cap_is_not_raised_while_a_peer_may_rely_on_it():
+    """A peer that missed a higher cap would still use what is taken back.
 
-    An owner promises 5 of its 10 flows, then opens 3. It repeats the narrow promise;
-    grown to 4 it calls itself pressed, and is still held to the 5.
+    An owner announces a cap of 5 of its 10 flows, then opens 3. It announces the same
+    cap again; with 4 flows it reports contention, and is still held to the 5.
     """
     core = make_cores(snapshot_with(max_connections=40))[0]
     row = core.tables.accounts["bundelpers"]
-    told = []
+    caps = []
     for row.open_flows in (0, 3, 4):
-        told.append(limits.next_usage_cap(core.tables, row, 1.0))
-    assert told == [5, 5, 10]
+        caps.append(limits.next_usage_cap(core.tables, row, 1.0))
+    assert caps == [5, 5, 10]
     assert limits.connection_allowance(core.tables, row, 2.0) == 5
 
 
 def test_flood_of_one_account_leaves_rows_for_the_next():
-    """A poet's upload opens while a flood of previews fills the flow table.
+    """A flow of one account opens while a flood of another fills the flow table.
 
-    Bundelpers opens flows until it is refused for want of rows; a third of the
-    table is still free then, and inzendloket gets two ninths of it. Without the
-    part of each account the flood would take every row for an hour.
+    The first account opens flows until it is refused for lack of rows. A third of the
+    table is still free then, and the second account gets two ninths of it. Without the
+    limit per account the flood would take every row for an hour.
     """
     core = driver.make_core(snapshot_with(per_target=10**6))
     core.tables.max_flows = 900
@@ -212,11 +212,11 @@
     assert len(core.tables.flows.rows) < 900
 
 
-def test_flood_of_unknown_flows_leaves_walks_for_the_next():
-    """A poet's upload is found after a host loss, through a flood of stray data.
+def test_flood_of_unknown_flows_leaves_searches_for_the_next():
+    """A flow is found after the loss of a host, during a flood of stray data.
 
-    A caller of bundelpers sends data of flows nobody knows; each starts a search.
-    The flood gets two thirds of the searches, and the upload's starts at once.
+    A caller of another account sends data of unknown flows; each starts a search. The
+    flood gets two thirds of the searches, and that for the flow starts at once.
     """
     core = driver.make_core(snapshot_with())
     for number in range(MAX_SEARCHES):
@@ -228,11 +228,11 @@
 
 
 def test_retries_stop_with_the_budget():
-    """Callers are refused at once when most targets shed and retries run out.
+    """Callers are refused at once when most targets refuse and no retries are left.
 
-    Every opening is answered by a reset, so every one asks for retries. Once the
-    account's budget is spent, the next caller's refusal comes with the first reset,
-    and targets see no more than the openings and the budget.
+    Every opening is answered by a reset, so every one needs retries. Once the account's
+    budget is spent, the next caller is refused with the first reset, and targets get no
+    more than the openings and the budget.
     """
     core = driver.make_core(snapshot_with(targets=7, retry_ratio=0.1))
     core.tables.accounts["bundelpers"].retry_balance = 3.0
@@ -252,8 +252,9 @@
 def test_callers_that_never_confirm_hold_no_row_for_long():
     """A SYN flood holds a target's connections for seconds, not for an hour.
 
-    Spoofed callers open, the target answers, and no confirmation comes. The rows go
-    soon after the opening timeout, so that the account has room again.
+    Callers with forged addresses open flows, the target answers, and no confirmation
+    comes. The rows are removed soon after the opening time-out, so that the account has
+    room again.
     """
     core = driver.make_core(snapshot_with())
     for port in range(3000, 3010):
--- a/tests/test_systems/test_loads.py
+++ b/tests/test_systems/test_loads.py
@@ -1,4 +1,4 @@
-"""Loads: what owners tell each other, what it costs, and when it vanishes."""
+"""Loads: what owners report to each other, its cost, and when it expires."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def run(cores, start, seconds, lost=lambda sender: False):
-    """Let cores tell each other their loads; return the messages sent."""
+    """Let cores send each other their loads; return the messages sent."""
     sent = []
     by_id = {core.tables.host_id: core for core in cores}
     for step in range(int(seconds / loads.SEND_INTERVAL)):
@@ -43,7 +43,7 @@
     return core.tables.targets[target_id].flows
 
 
-def test_owners_learn_each_others_flows_and_say_only_what_changed():
+def test_owners_learn_each_others_flows_and_send_only_changes():
     cores = make_cores(snapshot_with())
     for number, core in enumerate(cores):
         open_owned(core, 10 * (number + 1))
@@ -55,7 +55,7 @@
     assert run(cores, 3.0 + loads.REPEAT_INTERVAL, 2.0)
 
 
-def test_what_was_told_of_an_account_that_sleeps_is_taken_back(snapshot):
+def test_counts_sent_for_an_inactive_account_are_reset(snapshot):
     cores = make_cores(snapshot)
     open_owned(cores[1], 70)
     run(cores, 0.0, 3.0)
@@ -65,11 +65,12 @@
     assert not any(cores[1].tables.loads.last_sent.values())
 
 
-def test_a_dead_owners_flows_vanish_with_it(snapshot):
-    """New flows do not keep away from a target for a dead host's sake.
+def test_counts_of_a_dead_owner_are_removed(snapshot):
+    """New flows do not avoid a target because of a dead host's counts.
 
     A host dies; its flows are found again and counted by their new owners. Once it
-    is off the ring its own count goes, or they would stand twice.
+    leaves the owner table its own counts are removed, or the flows would be counted
+    twice.
     """
     cores = make_cores(snapshot)
     open_owned(cores[1], 70)
@@ -80,8 +81,8 @@
     assert remote(cores[0]) == 0
 
 
-def test_a_lost_zero_does_not_keep_a_count_for_ever(snapshot):
-    """A target looks empty again although the message that said so was lost."""
+def test_count_expires_after_a_lost_zero(snapshot):
+    """A target's count drops to zero although the message that said so was lost."""
     cores = make_cores(snapshot)
     open_owned(cores[1], 70)
     run(cores, 0.0, 3.0)
@@ -91,7 +92,7 @@
     assert remote(cores[0]) == 0
 
 
-def test_messages_keep_to_the_budget_and_the_greatest_changes_go_first():
+def test_messages_keep_to_the_budget_and_largest_changes_go_first():
     account = make_account(targets=200)
     core = driver.make_core(Snapshot(1, (account,)), hosts=30)
     for number, row in enumerate(core.tables.accounts["bundelpers"].targets):
@@ -105,15 +106,15 @@
     first = [item.flows for item in sent[0].targets]
     assert first == sorted(first, reverse=True)
     assert first[0] == 200
-    # Told in turn to 29 peers, counts are old before they arrive: once each, then
-    # never again, and none is used.
+    # With 29 peers in turn, counts are old before they arrive. They are sent once each,
+    # then never again, and none is used.
     run([core], 30.0, 170.0)
     core.tables.targets[FIRST].flows = 500
     assert not run([core], 200.0, 20.0)
     assert core.tables.loads.weight == 0.0
 
 
-def test_probers_tell_health_and_load(snapshot):
+def test_probers_report_health_and_load(snapshot):
     cores = make_cores(snapshot)
     open_owned(cores[1], 7)
     cores[0].tables.active_accounts["bundelpers"] = cores[0].tables.accounts[
@@ -127,7 +128,7 @@
     assert abs(note.load - 1.5) < 0.01
 
 
-def test_strangers_and_unknown_targets_change_nothing(snapshot):
+def test_unknown_senders_and_targets_change_nothing(snapshot):
     core = driver.make_core(snapshot, hosts=2)
     message = Loads((TargetLoad(FIRST, 50), TargetLoad("nobody", 50)))
     loads.receive_loads(core.tables, "host-9", message, 1.0)
@@ -136,11 +137,11 @@
     assert remote(core) == 50
 
 
-def test_reported_counts_lead_to_what_others_left_empty(snapshot):
-    """An owner fills the target that the others left empty, and does its part only.
+def test_reported_counts_lead_to_targets_that_others_left_empty(snapshot):
+    """An owner uses the target that the others left empty, but not for all its flows.
 
-    Three owners hold 300 flows on one of two targets. The fourth places most of
-    its 100 on the other; all of them there, by every owner, would overshoot.
+    Three owners hold 300 flows on one of two targets. The fourth places most of its 100
+    on the other; if every owner placed all its flows there, they would overshoot.
     """
     cores = make_cores(snapshot_with(targets=2))
     for core in cores[1:]:
@@ -151,10 +152,10 @@
     assert 70 <= flows(cores[0], "bundelpers-1") <= 90
 
 
-def test_pressed_owner_hears_of_what_others_leave():
+def test_owner_under_contention_receives_usage_caps():
     """One owner's callers get connections that the other owners do not use.
 
-    It says that it is pressed; the others, idle so far, promise part of theirs.
+    It reports contention; the others, idle so far, lend a part of their shares.
     """
     cores = make_cores(snapshot_with(max_connections=80))
     opened, refusal = open_owned(cores[0], 100)
