--- a/citronspring/systems/answers.py
+++ b/citronspring/systems/answers.py
@@ -1,4 +1,4 @@
-"""Answers of targets: to the caller, or to a search, or nowhere."""
+"""Packets from targets: sent to the caller, used by a flow search, or dropped."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     from citronspring.messages import Action, Packet
     from citronspring.tables import FlowRow, Tables, TargetRow
 
-#: States of a TCP flow whose target is known by hearsay.
+#: States of a TCP flow whose binding was learned and is not yet verified.
 UNVERIFIED_STATES = (FlowState.BACKUP, FlowState.UNVERIFIED, FlowState.CONTRADICTED)
 
 
@@ -62,7 +62,7 @@
 def answer_established(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
-    """Pass on an answer of an established flow, and note its FIN or RST."""
+    """Forward an answer of an established flow and track its FIN or RST."""
     row.deadline = idle_deadline(packet.flow, row.target.account, now)
     if packet.flags & RST:
         close(tables, packet.flow, row, now)
@@ -86,7 +86,7 @@
         if packet.ack == (opening.packet.seq + 1) & SEQUENCE_MASK:
             handle_opening_reset(tables, flow, row, now, actions)
         else:
-            # Not of this SYN but of a packet that belongs to another target.
+            # The reset does not answer this SYN, but a packet meant for another target.
             actions.append(Drop(DropReason.SWALLOWED_RESET))
     elif flow[0] != TCP:
         row.state = FlowState.ESTABLISHED
@@ -99,8 +99,8 @@
         opening.answer_seq = packet.seq
         actions.append(SendToCaller(packet))
     else:
-        # An acknowledgement of numbers from an earlier flow with this tuple: the
-        # caller's stack resets it, which frees the tuple on the target.
+        # The target acknowledges numbers of an earlier flow of this tuple. The caller's
+        # stack answers with a reset, which frees the tuple on the target.
         actions.append(SendToCaller(packet))
 
 
@@ -109,9 +109,10 @@
 ) -> None:
     """Handle a further answer before the caller has confirmed the first.
 
-    A reset whose number is not this target's own answers a packet that the caller
-    meant for another target, which a host with another view gave the SYN to. The
-    caller would take it for the end of that connection.
+    A reset whose sequence number is not this target's own is dropped. It answers a
+    packet that the caller meant for another target, on which a host with a different
+    membership view placed the SYN. The caller would take it for the end of that
+    connection.
     """
     opening = tables.openings.get(packet.flow)
     foreign = opening is not None and not within_window(
@@ -128,10 +129,11 @@
 def answer_unverified(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
-    """Handle an answer of the target that a flow is on by another's word.
+    """Handle an answer of the target of an unverified binding.
 
-    Its reset may only mean that the word was wrong. It is swallowed; the caller's
-    next packet then searches every target, which settles what is true.
+    A reset may only mean that the binding is wrong. It is dropped; the caller's next
+    packet then starts a search of all possible targets, which finds out where the flow
+    is.
     """
     if packet.flags & RST:
         mark_contradicted(row)
@@ -145,10 +147,10 @@
 
 
 def proves_connection(packet: Packet) -> bool:
-    """Whether only the holder of a flow sends such an answer.
+    """Whether only a target that holds the flow sends such an answer.
 
     A target in TIME-WAIT of an earlier flow of the tuple sends acknowledgements, and
-    one on which the SYN was placed a second time a SYN-ACK; neither sends data.
+    one on which the SYN was placed a second time sends a SYN-ACK; neither sends data.
     """
     return packet.payload_length > 0
 
@@ -161,9 +163,9 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Drop a late answer; but data belies a binding that is only hearsay."""
-    belied = packet.flow[0] == TCP and row.state in UNVERIFIED_STATES
-    if not belied or not proves_connection(packet):
+    """Drop a late answer, unless its data contradicts an unverified binding."""
+    contradicted = packet.flow[0] == TCP and row.state in UNVERIFIED_STATES
+    if not contradicted or not proves_connection(packet):
         actions.append(Drop(DropReason.STALE_ANSWER))
         return
     bind_learned(tables, packet.flow, source, now)
@@ -177,12 +179,12 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Learn from an answer where a flow lives that this owner does not know."""
+    """Learn the target of a flow from an answer, as the owner does not know it."""
     search = tables.searches.get(packet.flow)
     if search is not None:
         answer_during_search(tables, search, source, packet, now, actions)
     elif packet.flags & RST:
-        # It may answer a walk that ended.
+        # It may answer a probe of a search that has ended.
         actions.append(Drop(DropReason.SWALLOWED_RESET))
     elif packet.unreachable:
         actions.append(Drop(DropReason.UNCERTAIN))
--- a/citronspring/systems/binding.py
+++ b/citronspring/systems/binding.py
@@ -1,4 +1,4 @@
-"""Binding flows to targets, and the counts that must follow each binding."""
+"""Binding of flows to targets, and the counts that follow from it."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
     from citronspring.entities import FlowKey
     from citronspring.tables import AccountRow, Tables, TargetRow
 
-#: Seconds a closed tuple stays pinned (twice a maximum segment lifetime).
+#: Seconds for which the tuple of a closed flow stays bound (twice a maximum segment
+#: lifetime).
 TIME_WAIT = 60.0
 
-#: Seconds a copy of a TCP binding is kept: second chance finds the flow without it,
-#: and nothing tells the copy's holder that the flow has ended.
+#: Seconds for which a backup binding of a TCP flow is kept. A flow search finds the
+#: flow without it, and the backup host is not told when the flow ends.
 BACKUP_LIFETIME = 30.0
 
 TCP = 6
@@ -33,14 +34,14 @@
 
 
 def idle_deadline(flow: FlowKey, account: AccountRow, now: float) -> float:
-    """Return the shared deadline of a flow that was just used."""
+    """Return the shared deadline of a flow that has just received a packet."""
     if now >= account.deadlines_renewed_until:
         account.renew_deadlines(now)
     return account.tcp_deadline if flow[0] == TCP else account.udp_deadline
 
 
 def backup_deadline(flow: FlowKey, account: AccountRow, now: float) -> float:
-    """Return the deadline of a copied binding that was just used."""
+    """Return the deadline of a backup binding that has just received a packet."""
     deadline = idle_deadline(flow, account, now)
     if flow[0] == TCP:
         return min(deadline, now + BACKUP_LIFETIME)
@@ -68,10 +69,10 @@
 def bind_learned(
     tables: Tables, flow: FlowKey, target: TargetRow, now: float
 ) -> FlowRow:
-    """Bind a flow to the target that another host, or an answer, says it is on.
+    """Bind a flow to the target that another host or an answer named.
 
-    Only the owner counts it, and a TCP flow stays unproven until the target sends
-    data: a wrong binding would let that target's reset through to the caller.
+    Only the owner counts the flow. A TCP flow stays unverified until the target sends
+    data: with a wrong binding, the target's reset would otherwise reach the caller.
     """
     if not is_owner(tables, flow):
         return bind(tables, flow, target, FlowState.BACKUP, now)
@@ -80,12 +81,12 @@
 
 
 def is_owner(tables: Tables, flow: FlowKey) -> bool:
-    """Whether this host is the flow's owner, as far as it knows."""
+    """Whether this host is the owner of the flow in its own membership view."""
     return tables.owners.owner_and_backup(flow)[0] == tables.host_id
 
 
 def promote(tables: Tables, flow: FlowKey, row: FlowRow) -> None:
-    """Make a copied binding this owner's own, once a packet shows the flow lives."""
+    """Take over a backup binding as owner, as a packet shows that the flow is live."""
     if not is_owner(tables, flow):
         return
     row.state = FlowState.UNVERIFIED if flow[0] == TCP else FlowState.ESTABLISHED
@@ -99,29 +100,29 @@
 
 
 def unbind(tables: Tables, flow: FlowKey) -> None:
-    """Forget a flow's binding; its key leaves the wheel when its time comes."""
+    """Remove a flow's binding from the counts; its row and wheel key stay for now."""
     row = tables.flows.rows.get(flow)
     if row is None:
         return
     if row.state in COUNTED_STATES:
         adjust_open_flows(row, -1)
-    # The row stays in the table, uncounted, until `FlowTable.add` replaces it or
-    # expiry drops it, so that no key stands in the wheel twice.
+    # The row stays in the table, uncounted, until `FlowTable.add` replaces it or expiry
+    # removes it, so that no key is in the wheel twice.
     row.state = FlowState.CLOSING
 
 
 def remove_flow(tables: Tables, flow: FlowKey) -> None:
-    """Drop a flow's row altogether, so that the flow counts as unknown."""
+    """Remove a flow's row, so that the flow counts as unknown."""
     unbind(tables, flow)
     tables.flows.rows.pop(flow, None)
     tables.openings.pop(flow, None)
 
 
 def close(tables: Tables, flow: FlowKey, row: FlowRow, now: float) -> None:
-    """End a flow, and pin its tuple through TIME-WAIT.
+    """Close a flow and keep its tuple bound for TIME-WAIT.
 
-    A caller that reuses the port at once would otherwise get a new target while
-    an answer of the old one is still under way: another request's answer.
+    If the caller reused the port immediately, it could get a new target while an answer
+    of the old one is still in transit, and so the answer to another request.
     """
     if row.state in COUNTED_STATES:
         adjust_open_flows(row, -1)
@@ -132,7 +133,7 @@
 
 
 def mark_contradicted(row: FlowRow) -> None:
-    """Stop believing a binding that was only hearsay."""
+    """Mark an unverified binding as wrong and stop counting it."""
     if row.state in COUNTED_STATES:
         adjust_open_flows(row, -1)
     row.state = FlowState.CONTRADICTED
@@ -141,7 +142,7 @@
 def note_fin(
     tables: Tables, flow: FlowKey, row: FlowRow, side: int, now: float
 ) -> None:
-    """Note a FIN; close a flow whose two sides have each sent theirs."""
+    """Record a FIN; close the flow once both sides have sent one."""
     row.fin_flags |= side
     if row.fin_flags == BOTH_FINS and row.state != FlowState.CLOSING:
         close(tables, flow, row, now)
--- a/citronspring/systems/flow_search.py
+++ b/citronspring/systems/flow_search.py
@@ -1,8 +1,9 @@
-"""Second chance: finding the target that holds a flow this owner does not know.
+"""Flow search: finds the target that holds a flow unknown to its owner.
 
-The targets' own TCP stacks are the replica of the flow table. The owner offers
-the packet to one possible target after the other; a target that does not hold
-the flow answers with a reset, which runs nothing and is swallowed here.
+The TCP stacks of the targets serve as a replica of the flow table. The owner sends the
+caller's packet to one possible target after the other. A target that does not hold the
+flow runs nothing and answers with a reset, which is dropped here. The metrics call a
+search a walk.
 """
 
 from __future__ import annotations
@@ -28,27 +29,27 @@
     from citronspring.messages import Action, Packet
     from citronspring.tables import AccountRow, Tables, TargetRow
 
-#: Seconds one candidate has to answer.
+#: Seconds a candidate has to answer.
 PROBE_TIMEOUT = 0.15
 
-#: Seconds the second-ranked host has to answer.
+#: Seconds the backup host has to answer.
 QUERY_TIMEOUT = 0.1
 
-#: Seconds after which a walk ends in silence; the caller retransmits.
+#: Seconds after which a search ends without an answer; the caller retransmits.
 SEARCH_TIMEOUT = 3.0
 
-#: Packets held for one flow while its target is looked for.
+#: Packets held per flow during a search.
 HELD_PACKETS = 8
 
-#: Walks at once; beyond it packets of unknown flows are dropped.
+#: Maximum number of searches; beyond it, packets of unknown flows are dropped.
 MAX_SEARCHES = 4096
 
-#: Sequence numbers this far apart belong to one connection. Two numbers that are
-#: random by chance both lie this near once in a thousand times.
+#: Sequence numbers at most this far apart count as belonging to one connection. Two
+#: independent random numbers are both this close once in a thousand times.
 SEQUENCE_WINDOW = 1 << 26
 SEQUENCE_MASK = 0xFFFFFFFF
 
-#: What a caller's first acknowledgement can lie beyond the number of a SYN-ACK.
+#: Maximum distance of a caller's first acknowledgement from the number of a SYN-ACK.
 CONFIRM_WINDOW = 1 << 16
 
 
@@ -63,15 +64,15 @@
     packet: Packet,
     now: float,
     actions: list[Action],
-    ask: bool = True,
+    query_backup: bool = True,
 ) -> None:
-    """Hold a packet of an unknown TCP flow and start looking for its target.
+    """Hold a packet of an unknown TCP flow and start the search for its target.
 
     Parameters
     ----------
-    ask : bool
-        Whether the second-ranked host is asked first. Not when what this owner
-        believed was wrong: its copy would be the same error.
+    query_backup : bool
+        Whether the backup host is queried first. False if this owner's binding
+        was wrong, since the backup binding would have the same error.
     """
     activate(tables, account, now)
     if not tables.searches.has_room(account, MAX_SEARCHES):
@@ -86,17 +87,17 @@
         now + QUERY_TIMEOUT,
     )
     tables.searches[packet.flow] = search
-    second = tables.owners.owner_and_backup(packet.flow)[1]
-    if second is None or not ask:
+    backup = tables.owners.owner_and_backup(packet.flow)[1]
+    if backup is None or not query_backup:
         probe_next_candidate(tables, packet.flow, search, now, actions)
         return
-    actions.append(Relay(RelayKind.QUERY, second, packet.flow, packet))
+    actions.append(Relay(RelayKind.QUERY, backup, packet.flow, packet))
 
 
 def hold_packet(
     tables: Tables, search: SearchRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
-    """Keep a further packet of a flow whose target is being looked for."""
+    """Hold another packet of a flow whose target is being searched."""
     if len(search.packets) >= HELD_PACKETS:
         actions.append(Drop(DropReason.SEARCH_FULL))
     elif packet.payload_length and not search.packets[0].payload_length:
@@ -108,7 +109,7 @@
 def probe_with_data(
     tables: Tables, search: SearchRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
-    """Start over with a packet that the holder of the flow will acknowledge."""
+    """Restart the probing with a data packet, which the holder will acknowledge."""
     search.packets.insert(0, packet)
     if search.position < 0:
         return
@@ -119,7 +120,7 @@
 def receive_unknown(
     tables: Tables, flow: FlowKey, now: float, actions: list[Action]
 ) -> None:
-    """The second-ranked host does not know the flow either: ask the targets."""
+    """Probe the targets, as the backup host does not know the flow either."""
     search = tables.searches.get(flow)
     if search is not None and search.position < 0:
         probe_next_candidate(tables, flow, search, now, actions)
@@ -128,7 +129,7 @@
 def probe_next_candidate(
     tables: Tables, flow: FlowKey, search: SearchRow, now: float, actions: list[Action]
 ) -> None:
-    """Offer the held packet to the next candidate, or end the walk."""
+    """Send the held packet to the next candidate, or end the search."""
     search.position += 1
     while search.position < len(search.candidates) and candidate_has_reset(search):
         search.position += 1
@@ -142,26 +143,26 @@
 
 
 def candidate_has_reset(search: SearchRow) -> bool:
-    """Whether the current candidate has already said it does not hold the flow."""
+    """Whether the current candidate has already answered with a reset."""
     return search.candidates[search.position].target.target_id in search.resets
 
 
 def end_search(
     tables: Tables, flow: FlowKey, search: SearchRow, now: float, actions: list[Action]
 ) -> None:
-    """Settle a walk in which no candidate owned up to the flow.
+    """Finish a search in which no candidate acknowledged the flow.
 
-    If all but one answered with a reset, the flow can live only on the silent
-    one: a target acknowledges no bare ACK, so the holder may well say nothing.
+    If all but one answered with a reset, only the unresponsive one can hold the flow.
+    The holder may well not respond, as a target does not acknowledge a bare ACK.
     """
     del tables.searches[flow]
-    silent = [
+    unresponsive = [
         row for row in search.candidates if row.target.target_id not in search.resets
     ]
-    if len(silent) == 1 and has_newest_revision(tables):
-        bind_learned(tables, flow, silent[0], now)
+    if len(unresponsive) == 1 and has_newest_revision(tables):
+        bind_learned(tables, flow, unresponsive[0], now)
         for packet in search.packets[1:]:
-            actions.append(SendToTarget(silent[0].target.target_id, packet))
+            actions.append(SendToTarget(unresponsive[0].target.target_id, packet))
         return
     tables.counters["walks.uncertain"] += 1
     actions.append(Drop(DropReason.UNCERTAIN))
@@ -175,7 +176,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Take an answer from a candidate: a reset moves on, anything else binds."""
+    """Handle a candidate's answer: a reset continues the search, others may bind."""
     if packet.flags & RST:
         reset_during_search(tables, search, target, packet, now, actions)
         return
@@ -188,9 +189,9 @@
 def belongs_to_connection(search: SearchRow, answer: Packet) -> bool:
     """Whether an answer belongs to the caller's connection.
 
-    A target in TIME-WAIT of an earlier flow with the same tuple acknowledges
-    too; its numbers are those of the old connection. A target on which the SYN was
-    placed a second time answers with a SYN-ACK that the caller did not take.
+    A target in TIME-WAIT of an earlier flow of the tuple also sends acknowledgements,
+    but with the numbers of the old connection. A target on which the SYN was placed a
+    second time answers with a SYN-ACK that the caller did not accept.
     """
     probe = search.packets[0]
     if not answer.flags & ACK:
@@ -208,14 +209,14 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Bind the flow to the target that knows it and let the held packets go."""
+    """Bind the flow to the target that holds it and send it the held packets."""
     flow = answer.flow
     del tables.searches[flow]
     tables.counters["walks.found"] += 1
     bind_learned(tables, flow, target, now)
     actions.append(SendToCaller(answer))
-    offered = search.position >= 0 and search.candidates[search.position] is target
-    for packet in search.packets[1 if offered else 0 :]:
+    probed = search.position >= 0 and search.candidates[search.position] is target
+    for packet in search.packets[1 if probed else 0 :]:
         actions.append(SendToTarget(target.target.target_id, packet))
 
 
@@ -227,7 +228,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Swallow a candidate's reset; pass it on only when all others said so too."""
+    """Drop a candidate's reset; forward it only if all candidates have reset."""
     flow = packet.flow
     search.resets.add(target.target.target_id)
     all_reset = all(row.target.target_id in search.resets for row in search.candidates)
@@ -243,16 +244,16 @@
 
 
 def has_newest_revision(tables: Tables) -> bool:
-    """Whether this host knows every target the account's flows can live on.
+    """Whether this host knows every target that may hold flows of the account.
 
-    A peer with a higher revision may have placed the flow on a target this host
-    has not heard of; a reset now would break a live stream.
+    A peer with a higher revision may have placed the flow on a target that this host
+    does not know yet. A reset would then end a live connection.
     """
     return all(row.revision <= tables.revision for row in tables.hosts.values())
 
 
 def expire_searches(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Move walks on from candidates that do not answer; end the overdue."""
+    """Continue searches whose candidate timed out; end the overdue ones."""
     for flow, search in list(tables.searches.items()):
         if search.deadline <= now:
             del tables.searches[flow]
--- a/citronspring/systems/hints.py
+++ b/citronspring/systems/hints.py
@@ -1,4 +1,4 @@
-"""Hints: leave to forward packets of a long flow without its owner."""
+"""Hints: permission to forward packets of a long flow without its owner."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     from citronspring.messages import Action, Packet, RelayReceived
     from citronspring.tables import Tables, TargetRow
 
-#: Flags that change a flow's state; only the owner may see such packets last.
+#: Flags that change a flow's state. Packets with them always go through the owner.
 STATE_FLAGS = SYN | FIN | RST
 
-#: Relayed packets of a flow after which the relaying host is given a hint.
+#: Relayed packets of a flow after which the relaying host gets a hint.
 HINT_EVERY = 16
 
-#: Seconds a hint lasts; well below TIME-WAIT, so it never meets a reused tuple.
+#: Seconds a hint is valid; far below TIME-WAIT, so it never meets a reused tuple.
 HINT_LIFETIME = 5.0
 
-#: Hints held at once.
+#: Maximum number of hints.
 MAX_HINTS = 65536
 
 
@@ -34,14 +34,15 @@
     now: float,
     actions: list[Action],
 ) -> bool:
-    """Forward a packet by a hint if it still holds; return whether it did."""
+    """Forward a packet by a hint if it is still valid; return whether it was."""
     current = tables.targets.get(hint.target.target.target_id)
     stale = hint.owners_version != tables.owners.version or current is not hint.target
     if hint.deadline <= now or stale:
         del tables.hints[packet.flow]
         return False
     if packet.flags & STATE_FLAGS:
-        # The flow begins or ends: what follows may be another flow of the tuple.
+        # The flow begins or ends; later packets may belong to another flow of the
+        # tuple.
         del tables.hints[packet.flow]
         return False
     if packet.unreachable:
@@ -56,7 +57,7 @@
 
 
 def offer_hint(tables: Tables, event: RelayReceived, actions: list[Action]) -> None:
-    """Let a host that relays much of a flow forward the rest itself."""
+    """Allow a host that relays many packets of a flow to forward the rest itself."""
     row = tables.flows.rows.get(event.flow)
     if row is None or row.state != FlowState.ESTABLISHED:
         return
@@ -68,12 +69,12 @@
 
 
 def receive_hint(tables: Tables, event: RelayReceived, now: float) -> None:
-    """Keep a hint, if it comes from the owner this host knows."""
+    """Store a hint if it comes from the owner in this host's view."""
     target = target_of(tables, event.flow, event.target_id)
     owner = tables.owners.owner_and_backup(event.flow)[0]
     if target is None or owner != event.sender:
         return
-    # Taken out first, so that hints stand in the order in which they run out.
+    # Removed first, so that hints are ordered by expiry time.
     tables.hints.pop(event.flow, None)
     if len(tables.hints) >= MAX_HINTS:
         return
--- a/citronspring/systems/openings.py
+++ b/citronspring/systems/openings.py
@@ -1,4 +1,4 @@
-"""Openings: placing new flows, trying another target, refusing at once."""
+"""Openings: placement of new flows, retries on other targets, and refusals."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 #: Seconds a target has to answer a SYN before another is tried.
 ATTEMPT_TIMEOUT = 0.75
 
-#: Seconds a target's refusal of a first datagram is waited for.
+#: Seconds for which a target may refuse a first datagram.
 DATAGRAM_ATTEMPT_TIMEOUT = 1.0
 
-#: Targets a datagram flow is offered to; the further down its ranking it goes, the
-#: less likely it is found again once both its copies are lost.
+#: Maximum number of targets tried for a datagram flow. The lower the rank of its
+#: target, the less likely the flow is found again once both bindings are lost.
 DATAGRAM_TARGETS = 2
 
 
@@ -42,13 +42,13 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Place a new flow on a target, or refuse it at once."""
+    """Place a new flow on a target, or refuse it immediately."""
     reopen_flow(tables, None, account, packet, now, actions)
 
 
 def reopen_flow(
     tables: Tables,
-    likely: TargetRow | None,
+    preferred: TargetRow | None,
     account: AccountRow,
     packet: Packet,
     now: float,
@@ -63,8 +63,8 @@
         actions.append(refuse(tables, packet, *refused))
         return
     chosen: TargetRow | RefusalReason
-    if likely is not None and accepts_new_flow(tables, likely, now):
-        chosen = likely
+    if preferred is not None and accepts_new_flow(tables, preferred, now):
+        chosen = preferred
     else:
         chosen = choose_target(tables, packet.flow, account, [], now)
     if isinstance(chosen, RefusalReason):
@@ -83,7 +83,7 @@
 def refuse(
     tables: Tables, packet: Packet, reason: RefusalReason, retry_at: float
 ) -> Refuse:
-    """Return the final answer to an opening of which nothing was run."""
+    """Return the refusal of an opening that was not run on any target."""
     tables.counters[f"refused.{reason.value}"] += 1
     return Refuse(packet, reason, retry_at)
 
@@ -91,19 +91,19 @@
 def forward_via_backup(
     tables: Tables, target: TargetRow, packet: Packet, actions: list[Action]
 ) -> None:
-    """Send a packet to its target by way of the second-ranked host.
+    """Send a packet to its target via the backup host.
 
-    The packet itself carries the binding there, so that the host which owns the
-    flow once this one is gone knows it, without a control message.
+    The packet itself carries the binding, so the backup host knows it when it becomes
+    owner, without a separate control message.
     """
-    owner, second = tables.owners.owner_and_backup(packet.flow)
-    if owner != tables.host_id or second is None:
+    owner, backup = tables.owners.owner_and_backup(packet.flow)
+    if owner != tables.host_id or backup is None:
         actions.append(SendToTarget(target.target.target_id, packet))
         return
     actions.append(
         Relay(
             RelayKind.PROPOSE,
-            second,
+            backup,
             packet.flow,
             packet,
             target_id=target.target.target_id,
@@ -119,7 +119,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Try another target for an opening, or give the caller its final answer."""
+    """Try another target for an opening, or refuse it."""
     account = opening.tried[-1].account
     chosen = choose_target(tables, flow, account, opening.tried, now)
     if isinstance(chosen, RefusalReason):
@@ -140,16 +140,16 @@
 def send_bypassing_backup(
     tables: Tables, target: TargetRow, packet: Packet, actions: list[Action]
 ) -> None:
-    """Send a packet straight to its target, and the binding to the second host.
+    """Send a packet directly to its target, and the binding to the backup host.
 
-    The attempt before may have failed because the second-ranked host is dead and
-    this host's view lags: every retry through it would be lost as well.
+    The previous attempt may have failed because the backup host is dead and this host's
+    view is outdated: every retry through it would be lost as well.
     """
     target_id = target.target.target_id
     actions.append(SendToTarget(target_id, packet))
-    second = tables.owners.owner_and_backup(packet.flow)[1]
-    if second is not None:
-        actions.append(Relay(RelayKind.BIND, second, packet.flow, target_id=target_id))
+    backup = tables.owners.owner_and_backup(packet.flow)[1]
+    if backup is not None:
+        actions.append(Relay(RelayKind.BIND, backup, packet.flow, target_id=target_id))
 
 
 def refuse_opening(
@@ -160,10 +160,10 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Refuse an opening that no target took; nothing of its data was sent on.
+    """Refuse an opening that no target accepted; none of its data was forwarded.
 
-    A SYN that was only late may still open at a target. It runs nothing there: the
-    refused caller's own stack resets the late answer.
+    A target may still answer a delayed SYN. It runs nothing: the refused caller's own
+    stack resets the late answer.
     """
     retry_at = refused_until(opening.account, reason, now)
     remove_flow(tables, flow)
@@ -171,7 +171,7 @@
 
 
 def refused_until(account: AccountRow, reason: RefusalReason, now: float) -> float:
-    """Return when a caller that was refused for want of a target may come back."""
+    """Return when a caller may come back that was refused for lack of a target."""
     if reason is RefusalReason.NO_HEALTHY_TARGET:
         return next_trial_at(account, now) or now + RETRY_AFTER
     return now + RETRY_AFTER
@@ -180,7 +180,7 @@
 def handle_opening_reset(
     tables: Tables, flow: FlowKey, row: FlowRow, now: float, actions: list[Action]
 ) -> None:
-    """A target answered a SYN with a reset: it ran nothing, so try another."""
+    """Retry an opening whose target reset the SYN, as it ran nothing."""
     opening = tables.openings[flow]
     note_failure(tables, row.target, now)
     retry_opening(tables, flow, opening, RefusalReason.NO_HEALTHY_TARGET, now, actions)
@@ -189,7 +189,7 @@
 def handle_datagram_refused(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
-    """A target refused a datagram: try one other if nothing else was sent there."""
+    """Retry a refused datagram on one other target if nothing else was sent there."""
     opening = tables.openings[packet.flow]
     note_failure(tables, row.target, now)
     if opening.sent > 1 or len(opening.tried) >= DATAGRAM_TARGETS:
@@ -201,7 +201,7 @@
 
 
 def expire_openings(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Move openings away from targets that do not answer; refuse the overdue."""
+    """Retry openings on another target after a time-out; refuse overdue ones."""
     for flow, opening in list(tables.openings.items()):
         if min(opening.attempt_deadline, opening.deadline) > now:
             continue
@@ -214,10 +214,10 @@
 def settle_opening(
     tables: Tables, flow: FlowKey, opening: OpeningRow, now: float
 ) -> None:
-    """Stop watching an opening that was answered, or a datagram that was taken.
+    """Stop tracking an answered opening or an accepted datagram.
 
-    A caller that never confirms a SYN-ACK has no connection: to keep its row for
-    the idle time would let a flood of forged SYNs fill the account's limit.
+    A caller that never confirms a SYN-ACK has no connection. If its row were kept for
+    the idle time-out, a flood of forged SYNs would fill the account's limit.
     """
     if flow[0] != TCP:
         row = tables.flows.rows[flow]
@@ -234,11 +234,11 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Leave a target that did not answer a SYN.
+    """Stop waiting for a target that did not answer a SYN.
 
-    It gets no reset. Its answer may have reached the caller through a host with
-    another view, and a reset would end a connection that the caller holds open;
-    the caller's next packet tells which target it took.
+    The target is not reset. Its answer may have reached the caller through a host with
+    a different membership view, and a reset would then end a connection that the caller
+    holds open. The caller's next packet shows which target's answer it accepted.
     """
     note_failure(tables, opening.tried[-1], now)
     reason = RefusalReason.OPENING_TIMEOUT
--- a/citronspring/systems/ownership.py
+++ b/citronspring/systems/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership: which hosts own flows, and what changes when that changes."""
+"""Ownership of flows, and the changes to flows when owners change."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
     from citronspring.entities import FlowKey
     from citronspring.tables import FlowRow, Tables
 
-#: A suspect host still owns its flows: it may only be slow, and moving flows
-#: twice costs more than a short wait.
+#: A suspect host still owns its flows: it may only be slow, and moving flows twice
+#: costs more than a short wait.
 OWNING_STATES = (HostState.ALIVE, HostState.SUSPECT)
 
 
 def update_owners(tables: Tables, now: float) -> None:
-    """Bring owners in line with the membership view."""
+    """Update the owner table from the membership view."""
     members = [
         host_id
         for host_id, row in tables.hosts.items()
         if row.host.group == tables.group and row.state in OWNING_STATES
     ]
-    # The last host keeps what it has: to own nothing would drop every packet.
+    # The last host keeps its flows: without an owner every packet would be dropped.
     if tables.owners.update(members or [tables.host_id]):
         tables.counters["ring.changes"] += 1
         for flow, row in tables.flows.rows.items():
@@ -37,12 +37,12 @@
 
 
 def demote_flow(tables: Tables, flow: FlowKey, row: FlowRow, now: float) -> None:
-    """Stop counting a flow that another host owns now.
+    """Stop counting a flow that another host owns now; keep it as a backup.
 
-    A flow counted by its old and its new owner would show its target as fuller
-    than it is, and new flows would keep away from it. A copy is counted only when
-    a packet shows that the flow lives: nothing told its holder of flows that ended,
-    and all of them at once would look like a full account.
+    If both the old and the new owner counted a flow, its target would look fuller than
+    it is and get fewer new flows. A backup is counted only when a packet shows that the
+    flow is live: the backup host is not told of flows that ended, and counting all of
+    them at once would make the account look full.
     """
     if row.state in COUNTED_STATES and not is_owner(tables, flow):
         adjust_open_flows(row, -1)
--- a/citronspring/systems/placement.py
+++ b/citronspring/systems/placement.py
@@ -1,8 +1,8 @@
-"""Which targets a flow may be on, and which one a new flow is given to.
+"""Target placement: which target a new flow gets, and which may hold a flow.
 
-A new flow goes only to one of the ``PLACEMENT_WINDOW`` highest-ranked targets that took new
-flows at some revision. So a host that never saw the flow can list every place it
-may live from the configuration alone, see `possible_targets`.
+A new flow goes only to one of the ``PLACEMENT_WINDOW`` highest-ranked targets that took
+new flows at some revision. A host that never saw the flow can therefore list every
+target that may hold it from the configuration alone, see `possible_targets`.
 """
 
 from __future__ import annotations
@@ -19,27 +19,29 @@
     from citronspring.entities import FlowKey
     from citronspring.tables import AccountRow, Tables, TargetRow
 
-#: Ranked targets among which the least loaded is chosen. More spread load better
-#: and lengthen the walk for a flow whose owner was lost.
+#: Ranked targets among which the least loaded is chosen. A larger number spreads load
+#: better and lengthens the search for a flow whose owner was lost.
 COMPARED_TARGETS = 4
 
-#: No flow is ever placed below this rank, whatever is ejected or full. It bounds
-#: the walk: each generation of the target set adds at most this many.
+#: No flow is ever placed below this rank, even if targets are ejected or full. This
+#: bounds a flow search: each generation of the target set adds at most this many
+#: targets.
 PLACEMENT_WINDOW = 16
 
 #: Up to this many targets, every one is a candidate.
 ALL_CANDIDATES = 8
 
-#: A datagram flow leaves its first-ranked target only beyond this share of the
-#: mean load: nothing like a reset tells where it lives once both copies are lost.
+#: A datagram flow leaves its first-ranked target only above this multiple of the mean
+#: load. Datagrams have no reset that would show which target holds the flow once both
+#: bindings are lost.
 DATAGRAM_LOAD_BOUND = 1.25
 
-#: Flows beyond that share which are no reason to leave it: on a host with few flows
-#: every single one would.
+#: Flows above that multiple that are still allowed: on a host with few flows a single
+#: one would exceed it.
 DATAGRAM_SLACK = 8
 
-#: Times the mean load that the last healthy targets take before those that health
-#: speaks against are used again.
+#: Multiple of the mean load that the last healthy targets carry before excluded targets
+#: are used again.
 PANIC_LOAD = 4.0
 
 UDP = 17
@@ -47,12 +49,12 @@
 
 def rank_targets(flow: FlowKey, rows: list[TargetRow]) -> list[TargetRow]:
     """Return target rows from the highest rendezvous weight to the lowest."""
-    # As `score`, without a call of its own for each target of each new flow.
+    # Inlines `score` to avoid a function call per target of each new flow.
     return sorted(rows, key=lambda row: xxh64_intdigest(flow, row.seed), reverse=True)
 
 
 def placement_window(flow: FlowKey, account: AccountRow, now: float) -> list[TargetRow]:
-    """Return the ranked targets that configuration lets take the flow."""
+    """Return the ranked targets that may take the flow by configuration."""
     placeable = [
         row
         for row in account.targets
@@ -62,11 +64,11 @@
 
 
 def own_flow_weight(tables: Tables) -> float:
-    """Return how many flows over all hosts one flow of this host stands for.
+    """Return how many flows over all hosts one flow of this host represents.
 
-    All owners see the same target as the emptiest. Did each make up the whole
-    difference by itself, new flows would herd there until it is the fullest; so
-    what peers told counts by a part, and not at all once it is old.
+    All owners see the same target as the emptiest. If each made up the whole difference
+    by itself, they would all place new flows there until it is the fullest. The counts
+    of peers therefore have a limited weight, and none once they are old.
     """
     weight = tables.loads.weight
     hosts = len(tables.owners.members)
@@ -74,36 +76,37 @@
 
 
 def estimated_flows(tables: Tables, row: TargetRow) -> float:
-    """Return the open flows of a target over all hosts, as far as known."""
+    """Return the estimated open flows of a target over all hosts."""
     return row.flows * own_flow_weight(tables) + row.remote_flows * tables.loads.weight
 
 
 def usable_targets(
     tables: Tables, window: list[TargetRow], free: list[TargetRow], now: float
 ) -> list[TargetRow]:
-    """Return the targets with room that health lets new flows go to.
+    """Return the targets with room that are healthy enough for new flows.
 
-    Health never takes away more than half of the targets: beyond that the fault
-    may lie with this host's view, and the few left would be overrun. They then
-    still go first, until they carry ``PANIC_LOAD`` times the mean.
+    Health never excludes more than half of the targets: beyond that the fault may lie
+    with this host's view, and the few remaining targets would be overloaded. The
+    healthy ones are then still preferred until they carry ``PANIC_LOAD`` times the
+    mean.
     """
-    standing = [row for row in window if not is_excluded(tables, row, now)]
-    if len(standing) == len(window):
+    included = [row for row in window if not is_excluded(tables, row, now)]
+    if len(included) == len(window):
         return free
-    healthy = [row for row in free if row in standing]
-    if 2 * len(standing) >= len(window):
+    healthy = [row for row in free if row in included]
+    if 2 * len(included) >= len(window):
         return healthy
     mean = sum(estimated_flows(tables, row) for row in window) / len(window)
     ceiling = PANIC_LOAD * (mean + 1.0)
-    calm = [row for row in healthy if estimated_flows(tables, row) <= ceiling]
-    return calm or free
+    below_ceiling = [row for row in healthy if estimated_flows(tables, row) <= ceiling]
+    return below_ceiling or free
 
 
 def accepts_new_flow(tables: Tables, row: TargetRow, now: float) -> bool:
     """Whether configuration, health and limits let the target take a new flow."""
     configured = not row.target.leaving and row.placeable_from <= now
-    sound = not is_excluded(tables, row, now)
-    return configured and sound and has_room(tables, row)
+    is_healthy = not is_excluded(tables, row, now)
+    return configured and is_healthy and has_room(tables, row)
 
 
 def choose_target(
@@ -113,11 +116,11 @@
     tried: list[TargetRow],
     now: float,
 ) -> TargetRow | RefusalReason:
-    """Return the target for a new flow, or why there is none."""
+    """Return the target for a new flow, or the reason why there is none."""
     window = placement_window(flow, account, now)
     if window and not tried and flow[0] != UDP:
-        # Mostly nothing is wrong with the least loaded of all, and no need to look
-        # at the others' health and room.
+        # Fast path: usually the least loaded of all has room and is healthy, and the
+        # others need no check.
         best = least_loaded(tables, compared_targets(window, window), now)
         if has_room(tables, best) and not is_excluded(tables, best, now):
             return best
@@ -144,23 +147,23 @@
 
 
 def least_loaded(tables: Tables, candidates: list[TargetRow], now: float) -> TargetRow:
-    """Return the least full candidate; of equals, the first in this host's zone.
+    """Return the least loaded candidate; on a tie, the first in this host's zone.
 
-    What `estimated_flows` and `load_factor` say stands here without calls: this loop is a
-    fifth of what a new flow costs.
+    `estimated_flows` and `load_factor` are inlined here, since this loop takes a fifth
+    of the time of a new flow.
     """
-    own, told = own_flow_weight(tables), tables.loads.weight
+    own_weight, peer_weight = own_flow_weight(tables), tables.loads.weight
     zone = tables.zone
-    best, lightest = candidates[0], float("inf")
+    best, lowest = candidates[0], float("inf")
     for row in candidates:
-        flows = row.flows * own + row.remote_flows * told + 1.0
+        flows = row.flows * own_weight + row.remote_flows * peer_weight + 1.0
         load = flows / row.target.max_connections
         if row.health.prober_reports is not None or row.warm_at > now:
             load *= load_factor(row, now)
-        if load > lightest:
+        if load > lowest:
             continue
-        if load < lightest or row.target.zone == zone != best.target.zone:
-            best, lightest = row, load
+        if load < lowest or row.target.zone == zone != best.target.zone:
+            best, lowest = row, load
     return best
 
 
@@ -176,12 +179,13 @@
 
 
 def possible_targets(flow: FlowKey, account: AccountRow) -> list[TargetRow]:
-    """Return, likeliest first, every target an unknown flow can live on.
+    """Return every target that may hold an unknown flow, the most likely first.
 
-    A target qualifies if at some revision of its interval [added, leaving) fewer
-    than ``PLACEMENT_WINDOW`` placeable targets outranked it. Targets removed for good are
-    no longer counted against lower ranks, which can only lengthen the list. With
-    n targets grown from m, it holds about ``WINDOW * (1 + ln(n / m))`` of them.
+    A target qualifies if at some revision of its interval [added, leaving) fewer than
+    ``PLACEMENT_WINDOW`` placeable targets ranked above it. Targets that have been
+    removed are no longer counted against lower ranks, which can only lengthen the list.
+    With n targets grown from m, the list has about
+    ``PLACEMENT_WINDOW * (1 + ln(n / m))`` entries.
     """
     if len(account.targets) <= PLACEMENT_WINDOW:
         return rank_targets(flow, account.targets)
@@ -210,7 +214,7 @@
 
 
 def placeable_count(account: AccountRow, revision: int) -> int:
-    """Return how many of today's targets took new flows at a revision."""
+    """Return how many of the current targets took new flows at a revision."""
     return sum(was_placeable(row, revision) for row in account.targets)
 
 
--- a/citronspring/systems/relays.py
+++ b/citronspring/systems/relays.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of single flows: proposals, questions, bindings."""
+"""Relays between hosts about single flows: proposals, queries and bindings."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def confirm_proposal(
     tables: Tables, event: RelayReceived, now: float, actions: list[Action]
 ) -> None:
-    """As second-ranked host, keep a copy of the owner's binding and forward."""
+    """Keep the owner's binding as backup host, and forward the packet."""
     assert event.packet is not None
     proposed = target_of(tables, event.flow, event.target_id)
     row = known_flow(tables, event.flow)
@@ -42,7 +42,7 @@
         actions.append(Drop(DropReason.UNCERTAIN))
         return
     if row is None or row.target is not proposed:
-        # A copy is worth less than a row of this host's own flows: second chance
+        # A backup has lower priority than a row of this host's own flows: a flow search
         # finds the flow without it.
         if tables.flows.rows.has_room(proposed.account, tables.max_flows):
             bind(tables, event.flow, proposed, FlowState.BACKUP, now)
@@ -52,12 +52,12 @@
 
 
 def takes_precedence(row: FlowRow, packet: Packet) -> bool:
-    """Whether this host's binding goes before another one that is proposed.
+    """Whether this host's binding takes precedence over a proposed one.
 
-    It does if this host counts the flow as its own: it was the owner until a moment
-    ago, and the flow lives there. A mere copy of a TCP binding may be of an earlier
-    flow of the tuple, whose target may be leaving by now; nothing else remembers a
-    datagram flow, so that its copy prevails.
+    It does if this host counts the flow as its own: it was the owner until recently,
+    and its target holds the flow. A backup of a TCP binding may belong to an earlier
+    flow of the tuple, whose target may be leaving by now. A backup of a datagram flow
+    takes precedence, since there is no other record of the flow.
     """
     if packet.flags & SYN and row.target.target.leaving:
         return False
@@ -65,13 +65,13 @@
 
 
 def bind_message(event: RelayReceived, target: TargetRow) -> Relay:
-    """Tell the sender of a relay which target the flow is on."""
+    """Return the message that tells the sender of a relay which target has the flow."""
     target_id = target.target.target_id
     return Relay(RelayKind.BIND, event.sender, event.flow, target_id=target_id)
 
 
 def answer_query(tables: Tables, event: RelayReceived, actions: list[Action]) -> None:
-    """Forward a packet the owner asks about, or say the flow is not known here."""
+    """Forward a packet that the owner queries, or report the flow as unknown."""
     assert event.packet is not None
     row = known_flow(tables, event.flow)
     if row is None:
@@ -82,7 +82,7 @@
 
 
 def known_flow(tables: Tables, flow: FlowKey) -> FlowRow | None:
-    """Return the row of a flow that is neither closed nor in doubt."""
+    """Return the row of a flow that is neither closed nor contradicted."""
     row = tables.flows.rows.get(flow)
     if row is None or row.state in (FlowState.CLOSING, FlowState.CONTRADICTED):
         return None
@@ -92,10 +92,10 @@
 def receive_binding(
     tables: Tables, event: RelayReceived, now: float, actions: list[Action]
 ) -> None:
-    """Take over a binding that another host knew.
+    """Apply a binding that another host sent.
 
-    Only where this host has nothing better: an answer to a question may arrive
-    after a walk has found the flow elsewhere.
+    It applies only if this host has no better one: the answer to a query may arrive
+    after a search has found the flow on another target.
     """
     target = target_of(tables, event.flow, event.target_id)
     if target is None:
@@ -117,7 +117,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Let the packets go that were held; the first one the other host has sent."""
+    """Send the held packets; the other host has already sent the first one."""
     search = tables.searches[flow]
     del tables.searches[flow]
     bind_learned(tables, flow, target, now)
@@ -128,7 +128,7 @@
 def move_opening(
     tables: Tables, flow: FlowKey, opening: OpeningRow, target: TargetRow, now: float
 ) -> None:
-    """Follow an opening that the second-ranked host had placed before."""
+    """Move an opening to the target on which the backup host had placed it before."""
     if flow[0] == TCP:
         bind(tables, flow, target, FlowState.OPENING, now)
         opening.tried.append(target)
@@ -138,7 +138,7 @@
 
 
 def store_backup(tables: Tables, flow: FlowKey, target: TargetRow, now: float) -> None:
-    """Keep a copy of the binding the owner changed."""
+    """Keep a backup of the binding that the owner changed."""
     row = known_flow(tables, flow)
     if row is None or row.state == FlowState.BACKUP:
         bind(tables, flow, target, FlowState.BACKUP, now)
--- a/citronspring/systems/revisions.py
+++ b/citronspring/systems/revisions.py
@@ -1,4 +1,4 @@
-"""Revisions: applying configuration, which only ever moves forward."""
+"""Application of configuration revisions, which never go back."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
     from citronspring.entities import Account, ChangeRecord, Snapshot, Target
     from citronspring.tables import Tables
 
-#: Seconds a new target waits before new flows are placed on it. By then every
-#: connected host knows it, so that none takes its flows for lost.
+#: Seconds a new target waits before new flows are placed on it. By then every connected
+#: host knows it and can find the flows on it.
 PLACEMENT_DELAY = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimes:
-    """When a new target takes its first flows, and its whole share."""
+    """Times at which a new target takes its first flows and its full share."""
 
     placeable_from: float
     warm_at: float
 
 
 def apply_snapshot(tables: Tables, snapshot: Snapshot, now: float) -> bool:
-    """Take a whole configuration if it is newer; return whether it was."""
+    """Apply a snapshot if it is newer; return whether it was."""
     if snapshot.revision <= tables.revision:
         tables.counters["revisions.old"] += 1
         return False
@@ -65,7 +65,7 @@
 
 
 def set_revision(tables: Tables, revision: int) -> None:
-    """Move this host's revision up."""
+    """Set this host's revision."""
     tables.revision = revision
     tables.me.revision = revision
 
@@ -73,7 +73,7 @@
 def put_account(
     tables: Tables, account: Account, now: float, first: bool = False
 ) -> None:
-    """Add or replace a client account, keeping the counts of what stays.
+    """Add or replace a client account, keeping the counts of remaining targets.
 
     Parameters
     ----------
@@ -94,13 +94,13 @@
 
 
 def put_targets(tables: Tables, row: AccountRow, now: float, first: bool) -> None:
-    """Bring the rows of an account's targets in line with its configuration."""
+    """Update the rows of an account's targets from its configuration."""
     named = {target.target_id for target in row.account.targets}
     for gone in [old for old in row.targets if old.target.target_id not in named]:
         remove_target(tables, gone)
     known_to_all = old_generations(row.account) if first else frozenset()
-    # Shared by the targets: a float of its own for each would cost an idle
-    # account more than its row.
+    # Shared by the targets: a separate float for each would take more memory than the
+    # row of an idle account.
     at_once = StartTimes(now, now + SLOW_START_TIME)
     later = now + PLACEMENT_DELAY
     delayed = StartTimes(later, later + SLOW_START_TIME)
@@ -111,11 +111,11 @@
 
 
 def old_generations(account: Account) -> frozenset[int]:
-    """Return the revisions whose targets a host that starts may place flows on.
+    """Return the revisions whose targets a starting host may use immediately.
 
-    All but the last, unless it is the only one. A host that joins reads the newest
-    configuration while the others may not have heard of it. If it placed a flow on
-    a target they do not know, and died, the next owner would take it for lost.
+    These are all but the last, unless it is the only one. A host that joins reads the
+    newest configuration while the others may not have received it. If it placed a flow
+    on a target that they do not know, and died, the next owner could not find the flow.
     """
     revisions = {target.added_revision for target in account.targets}
     if len(revisions) > 1:
@@ -126,10 +126,10 @@
 def put_target(
     tables: Tables, row: AccountRow, target: Target, times: StartTimes
 ) -> None:
-    """Add a target to an account, or replace what is configured of it."""
+    """Add a target to an account, or replace its configuration."""
     existing = tables.targets.get(target.target_id)
     if existing is not None and existing.account is not row:
-        # Moved between accounts, and this host learns of both steps at once.
+        # The target moved between accounts, and this host applies both steps at once.
         remove_target(tables, existing)
         existing = None
     if existing is None:
@@ -144,14 +144,14 @@
 
 
 def remove_tunnel_address(tables: Tables, row: TargetRow) -> None:
-    """Forget a target's tunnel address, unless another target has it by now."""
+    """Remove a target's tunnel address, unless another target has it by now."""
     ip = row.target.tunnel.ip
     if tables.targets_by_ip.get(ip) == row.target.target_id:
         del tables.targets_by_ip[ip]
 
 
 def remove_target(tables: Tables, gone: TargetRow) -> None:
-    """Forget a target that was removed for good, and the flows bound to it."""
+    """Remove a target that was deleted, and the flows bound to it."""
     tables.targets.pop(gone.target.target_id, None)
     remove_tunnel_address(tables, gone)
     gone.account.targets.remove(gone)
@@ -161,7 +161,7 @@
 
 
 def remove_account(tables: Tables, account_id: str) -> None:
-    """Forget a client account with its addresses, targets and flows."""
+    """Remove a client account with its addresses, targets and flows."""
     row = tables.accounts.pop(account_id, None)
     if row is None:
         return
--- a/citronspring/systems/routing.py
+++ b/citronspring/systems/routing.py
@@ -1,4 +1,4 @@
-"""Routing: from a packet to its owner, and from the owner to target or caller."""
+"""Routing of packets to their owner, and from the owner to target or caller."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     from citronspring.tables import AccountRow, FlowRow, Tables, TargetRow
 
 
-#: States in which a caller's packets simply go to the bound target.
+#: States in which a caller's packets are forwarded to the bound target as they are.
 SETTLED_STATES = frozenset((FlowState.ESTABLISHED, FlowState.UNVERIFIED))
 
 
@@ -68,8 +68,8 @@
     packet = event.packet
     source = None
     if event.target_id is not None:
-        # A target that answers for another account's service address would hand
-        # one customer's bytes to another customer's caller.
+        # A target that answered for another account's service address would send one
+        # client account's data to a caller of another.
         source = target_of(tables, packet.flow, event.target_id)
         if source is None:
             actions.append(Drop(DropReason.FOREIGN_SOURCE))
@@ -89,7 +89,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Forward another owner's packet by a hint, or relay it to the owner."""
+    """Forward a packet of another owner's flow by a hint, or relay it to the owner."""
     hint = tables.hints.get(packet.flow)
     if hint is not None and use_hint(tables, hint, packet, source, now, actions):
         return
@@ -104,7 +104,7 @@
 def receive_relay(
     tables: Tables, event: RelayReceived, now: float, actions: list[Action]
 ) -> None:
-    """Take what another host relayed; a relayed packet is not relayed onward."""
+    """Handle a relay from another host; packets are not relayed a second time."""
     match event.kind:
         case RelayKind.TO_OWNER:
             assert event.packet is not None
@@ -129,7 +129,7 @@
 def receive_query(
     tables: Tables, event: RelayReceived, now: float, actions: list[Action]
 ) -> None:
-    """Answer a question about a flow, or take over a packet of one's own flow."""
+    """Answer a query about a flow, or handle the packet if this host is the owner."""
     assert event.packet is not None
     if not is_owner(tables, event.flow):
         answer_query(tables, event, actions)
@@ -185,36 +185,36 @@
 def forward_unsettled(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
-    """Forward a caller's packet of a TCP flow that is not plainly established."""
-    pinned = SendToTarget(row.target.target.target_id, packet)
-    opens = packet.flags & (SYN | RST)
+    """Forward a caller's packet of a TCP flow whose state needs special handling."""
+    to_target = SendToTarget(row.target.target.target_id, packet)
+    opens_flow = packet.flags & (SYN | RST)
     match row.state:
         case FlowState.CONTRADICTED:
             discard_binding_and_search(tables, row, packet, now, actions)
         case FlowState.CLOSING:
-            # Last acknowledgements: the pinned target expects them.
-            actions.append(pinned)
+            # Final acknowledgements, which the bound target expects.
+            actions.append(to_target)
         case FlowState.BACKUP:
             row.deadline = backup_deadline(packet.flow, row.target.account, now)
             promote(tables, packet.flow, row)
             track_caller_state(tables, row, packet, now)
-            actions.append(pinned)
-        case FlowState.ANSWERED if not opens:
+            actions.append(to_target)
+        case FlowState.ANSWERED if not opens_flow:
             confirm_opening(tables, row, packet, now, actions)
-        case FlowState.OPENING if not opens:
+        case FlowState.OPENING if not opens_flow:
             handle_wrong_target(tables, row, packet, now, actions)
         case _:
             row.deadline = idle_deadline(packet.flow, row.target.account, now)
             track_caller_state(tables, row, packet, now)
-            actions.append(pinned)
+            actions.append(to_target)
 
 
 def opens_new_flow(tables: Tables, row: FlowRow, packet: Packet) -> bool:
-    """Whether a SYN opens another flow of the tuple than the row's.
+    """Whether a SYN opens a new flow of the tuple.
 
-    What is known by hearsay may be of an earlier flow. A SYN on an established flow
-    is mostly a late copy, which its target ignores; but a leaving target must get
-    no new work, so that it is placed again.
+    An unverified binding may belong to an earlier flow. A SYN on an established flow is
+    usually a late duplicate, which its target ignores. A leaving target must not get
+    new flows, however, so there the SYN is placed again.
     """
     if row.state in (FlowState.OPENING, FlowState.ANSWERED):
         opening = tables.openings.get(packet.flow)
@@ -225,7 +225,7 @@
 def reopen_known_flow(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
-    """Open a flow whose tuple has a row."""
+    """Open a new flow whose tuple already has a row."""
     if not is_owner(tables, packet.flow):
         redirect_to_owner(tables, packet, actions)
         return
@@ -233,14 +233,14 @@
     if is_retired(tables, packet.flow):
         refuse_unknown_service(tables, packet, now, actions)
         return
-    likely = None if row.state == FlowState.CLOSING else row.target
-    reopen_flow(tables, likely, account, packet, now, actions)
+    preferred = None if row.state == FlowState.CLOSING else row.target
+    reopen_flow(tables, preferred, account, packet, now, actions)
 
 
 def forward_datagram(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
-    """Forward a datagram; now and then by the second host, to renew its copy."""
+    """Forward a datagram; periodically via the backup host, to refresh its binding."""
     row.deadline = idle_deadline(packet.flow, row.target.account, now)
     if row.state == FlowState.CLOSING:
         open_flow(tables, row.target.account, packet, now, actions)
@@ -260,7 +260,7 @@
 def confirm_opening(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
-    """Take the caller's first acknowledgement: of this target's answer, or not."""
+    """Handle the caller's first acknowledgement, which may be for another target."""
     opening = tables.openings.pop(packet.flow, None)
     answer_seq = None if opening is None else opening.answer_seq
     if answer_seq is None or within_window(packet.ack, answer_seq + 1, CONFIRM_WINDOW):
@@ -275,10 +275,11 @@
 def handle_wrong_target(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
-    """Look for the target the caller really speaks with.
+    """Search for the target that the caller is really connected to.
 
-    Two hosts whose views differed each placed the SYN, and the caller took the
-    other one's answer. Its packets would be reset by the target bound here.
+    Two hosts with different membership views each placed the SYN, and the caller
+    accepted the answer of the other target. The target bound here would reset the
+    caller's packets.
     """
     tables.counters["openings.doubled"] += 1
     discard_binding_and_search(tables, row, packet, now, actions)
@@ -287,13 +288,13 @@
 def discard_binding_and_search(
     tables: Tables, row: FlowRow, packet: Packet, now: float, actions: list[Action]
 ) -> None:
-    """Forget a binding that was wrong, and search without asking for its copy."""
+    """Remove a wrong binding and search, without querying the backup host."""
     account = row.target.account
     remove_flow(tables, packet.flow)
     if packet.flags & RST:
         broadcast_caller_reset(account, packet, actions)
     elif is_owner(tables, packet.flow):
-        begin_search(tables, account, packet, now, actions, ask=False)
+        begin_search(tables, account, packet, now, actions, query_backup=False)
     else:
         redirect_to_owner(tables, packet, actions)
 
@@ -301,7 +302,7 @@
 def track_caller_state(
     tables: Tables, row: FlowRow, packet: Packet, now: float
 ) -> None:
-    """Note a caller's FIN or RST."""
+    """Record a caller's FIN or RST."""
     if packet.flags & RST:
         close(tables, packet.flow, row, now)
     elif packet.flags & FIN:
@@ -313,14 +314,14 @@
 ) -> None:
     """Handle a caller's packet of a flow that is unknown here."""
     account = account_of(tables, packet.flow)
-    opens = packet.flow[0] != TCP or packet.flags & (SYN | ACK) == SYN
-    if account is None or opens and is_retired(tables, packet.flow):
+    opens_flow = packet.flow[0] != TCP or packet.flags & (SYN | ACK) == SYN
+    if account is None or opens_flow and is_retired(tables, packet.flow):
         refuse_unknown_service(tables, packet, now, actions)
     elif packet.unreachable:
         actions.append(Drop(DropReason.UNCERTAIN))
     elif not is_owner(tables, packet.flow):
         redirect_to_owner(tables, packet, actions)
-    elif opens:
+    elif opens_flow:
         tables.searches.pop(packet.flow, None)
         open_flow(tables, account, packet, now, actions)
     elif packet.flags & RST:
@@ -330,10 +331,11 @@
 
 
 def redirect_to_owner(tables: Tables, packet: Packet, actions: list[Action]) -> None:
-    """Pass a packet that was relayed here in error on to the flow's owner.
+    """Send a packet that was relayed here by mistake to the flow's owner.
 
-    The sender's view lags, or this host's does. To place the flow here as well
-    would place it twice. The owner relays a question no further, so no loop forms.
+    The sender's membership view is outdated, or this host's is. Placing the flow here
+    too would place it twice. The owner does not relay a query any further, so no loop
+    forms.
     """
     owner = tables.owners.owner_and_backup(packet.flow)[0]
     if owner is None:
@@ -345,10 +347,10 @@
 def refuse_unknown_service(
     tables: Tables, packet: Packet, now: float, actions: list[Action]
 ) -> None:
-    """Refuse an opening to an address no client account has.
+    """Refuse an opening to an address that no client account has.
 
-    A host that has no configuration yet, or has heard of a newer one, cannot know
-    that: its refusal would end an opening that every other host serves.
+    A host without a configuration, or one that knows of a newer revision, cannot be
+    sure of that: its refusal would end an opening that every other host serves.
     """
     if packet.flags & SYN and tables.revision and has_newest_revision(tables):
         retry_at = now + RETRY_AFTER
@@ -364,7 +366,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Start or join the search for the target of an unknown flow."""
+    """Start the search for the target of an unknown flow, or add to it."""
     search_row = tables.searches.get(packet.flow)
     if search_row is not None:
         hold_packet(tables, search_row, packet, now, actions)
@@ -375,6 +377,6 @@
 def broadcast_caller_reset(
     account: AccountRow, packet: Packet, actions: list[Action]
 ) -> None:
-    """Give a caller's reset of an unknown flow to every target it may be on."""
+    """Send a caller's reset of an unknown flow to every target that may hold it."""
     for target in possible_targets(packet.flow, account):
         actions.append(SendToTarget(target.target.target_id, packet))
--- a/tests/test_systems/driver.py
+++ b/tests/test_systems/driver.py
@@ -1,4 +1,4 @@
-"""Drives one core by hand: builds packets and names what comes out."""
+"""Drives a single core: builds its packets and classifies its actions."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
     return flow_key(protocol, address, 443, "198.51.100.7", port)
 
 
-def owned_flow(core, owner=True, second=None, start=40_000):
-    """Return a flow that the core owns, or that a named host ranks second for."""
+def owned_flow(core, owner=True, backup=None, start=40_000):
+    """Return a flow that the core owns, or that has a named host as its backup."""
     for port in range(start, 60_000):
         flow = flow_to(port=port)
-        first, runner_up = core.tables.owners.owner_and_backup(flow)
+        first, next_owner = core.tables.owners.owner_and_backup(flow)
         mine = (first == core.tables.host_id) == owner
-        if mine and second in (None, runner_up):
+        if mine and backup in (None, next_owner):
             return flow
     raise AssertionError("no such flow")
 
@@ -97,7 +97,7 @@
 
 
 def expire(core, now):
-    """Run the timed systems of flows, and none that needs other hosts."""
+    """Run the periodic systems of flows, without those that need other hosts."""
     tables = core.tables
     actions = []
     update_owners(tables, now)
--- a/tests/test_systems/test_binding.py
+++ b/tests/test_systems/test_binding.py
@@ -1,4 +1,4 @@
-"""Bindings: what is believed of a copy, and the counts that follow each binding."""
+"""Bindings: verification of learned bindings, and the counts that follow."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 def adopt_binding(core, flow, target_id, now=1.0):
-    """Have a core take over a binding from the second-ranked host."""
+    """Let a core apply a binding that the backup host sent."""
     core.receive(driver.from_caller(flow), now)
     core.receive(binding(flow, target_id), now)
     return core.tables.flows.rows[flow]
 
 
 def with_leaving_target(snapshot, target_id, revision=2):
-    """Return the configuration in which a target leaves."""
+    """Return the configuration in which a target is leaving."""
     account = snapshot.accounts[0]
     targets = [
         replace(target, leaving_revision=revision)
@@ -40,12 +40,12 @@
     return Snapshot(revision, accounts)
 
 
-def test_reset_of_a_target_known_by_hearsay_starts_a_search(snapshot):
-    """An upload goes on although a copy of its binding was out of date.
+def test_reset_of_an_unverified_target_starts_a_search(snapshot):
+    """An upload continues although the backup of its binding was outdated.
 
-    The new owner took the copy's word for the target. That target holds no such
-    flow and resets it. The reset is swallowed; the caller's retransmission is
-    offered to every target, and the copy is not asked again.
+    The new owner applied the backup. Its target does not hold the flow and resets it.
+    The reset is dropped; the caller's retransmission is sent to every target, and the
+    backup host is not queried again.
     """
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core)
@@ -59,7 +59,7 @@
     assert flow in core.tables.searches
 
 
-def test_reset_of_a_proven_target_passes_at_once(snapshot):
+def test_reset_of_a_verified_target_is_forwarded(snapshot):
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core)
     adopt_binding(core, flow, "bundelpers-1")
@@ -68,11 +68,11 @@
     assert driver.kinds(actions) == ["SendToCaller"]
 
 
-def test_late_binding_changes_nothing(snapshot):
-    """A stream stays on its target when an old answer comes after the search.
+def test_late_query_answer_does_not_change_the_binding(snapshot):
+    """A flow stays on its target when a late query answer arrives after the search.
 
-    The second-ranked host was slow. The search found the flow by itself; then the
-    answer arrives and names the target of an earlier flow of the tuple.
+    The backup host was slow, and the search has found the flow. The answer then names
+    the target of an earlier flow of the tuple.
     """
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core)
@@ -87,11 +87,12 @@
 
 
 @pytest.mark.parametrize("flags", [0, FIN])
-def test_data_of_another_target_belies_hearsay(snapshot, flags):
-    """A preview goes on while its owner has an old copy of another target.
+def test_data_of_another_target_replaces_an_unverified_binding(snapshot, flags):
+    """A download continues while its owner has an outdated backup for another target.
 
-    Its packets would be dropped as late answers. The caller, who only reads, sends
-    nothing that could start a search, and the page would stall until it gave up.
+    The target's packets would be dropped as late answers. The caller only receives and
+    sends nothing that could start a search, so the download would stall until a
+    time-out.
     """
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core)
@@ -104,13 +105,13 @@
     assert driver.kinds(core.receive(answer, 1.3)) == ["Drop"]
 
 
-def test_copy_of_an_earlier_flow_does_not_catch_a_new_one(snapshot):
-    """A leaving target gets no new work by way of an old copy.
+def test_backup_of_an_earlier_flow_does_not_decide_a_new_one(snapshot):
+    """A leaving target gets no new flow through an outdated backup.
 
-    The second-ranked host keeps a copy of a flow that is closed by now. The caller
-    reuses the port; the owner places the new flow, and the proposal must replace
-    the copy. A copy whose target is leaving does not steer an opening either when
-    its holder becomes the owner.
+    The backup host keeps the binding of a flow that is closed by now. The caller reuses
+    the port; the owner places the new flow, and its proposal must replace the backup. A
+    backup whose target is leaving does not decide an opening either when its host
+    becomes the owner.
     """
     second = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(second, owner=False)
@@ -138,11 +139,11 @@
     assert placed != leaving
 
 
-def test_copies_are_not_counted_before_they_are_used(snapshot):
-    """A host that takes over flows does not refuse callers as if it were full.
+def test_backups_are_not_counted_before_they_are_used(snapshot):
+    """A host that takes over flows does not refuse callers as if the account were full.
 
-    It holds copies of all flows of the last seconds, most of them closed by now.
-    Counted as open they would fill the account's limit at once.
+    It holds backups of all flows of the last seconds, most of them closed by now. If
+    all counted as open, they would exceed the account's limit.
     """
     core = driver.make_core(snapshot, hosts=2)
     account = core.tables.accounts["bundelpers"]
@@ -158,12 +159,12 @@
     assert account.open_flows == core.tables.targets["bundelpers-1"].flows == 1
 
 
-def test_owner_of_a_moment_ago_keeps_its_placement_unless_the_target_leaves(snapshot):
-    """A repeated SYN finds the target that has answered it, but no leaving one.
+def test_previous_owner_keeps_its_placement_unless_the_target_leaves(snapshot):
+    """A repeated SYN goes to the target that has answered it, unless that is leaving.
 
-    This host still takes itself for the owner and has placed the SYN; the new owner
-    proposes another target. The first placement stands, as the caller may have its
-    answer, unless that target has been told to leave meanwhile.
+    This host still considers itself the owner and has placed the SYN; the new owner
+    proposes another target. The first placement is kept, as the caller may have its
+    answer, unless that target has been told to leave since.
     """
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core)
@@ -177,8 +178,8 @@
     assert driver.sent_to(core.receive(event, 1.5)) == ["bundelpers-6"]
 
 
-def test_changed_placement_reaches_its_copy(snapshot):
-    """The host that would take over knows where a retried opening went."""
+def test_changed_placement_reaches_the_backup(snapshot):
+    """The host that would take over knows the target of a retried opening."""
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core, owner=False)
     event = driver.relayed(
@@ -192,7 +193,7 @@
 
 
 def test_host_that_does_not_own_a_flow_does_not_count_it(snapshot):
-    """A target does not look fuller for answers that strayed to another host."""
+    """A target does not look fuller because of answers that reached another host."""
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core, owner=False)
     answer = driver.from_target(flow, "bundelpers-1", data=b"page")
@@ -202,7 +203,7 @@
     assert core.tables.accounts["bundelpers"].open_flows == 0
 
 
-def test_copies_of_tcp_flows_are_short_lived(snapshot):
+def test_backups_of_tcp_flows_are_short_lived(snapshot):
     core = driver.make_core(snapshot, hosts=2)
     target = core.tables.targets["bundelpers-1"]
     for protocol, lives in ((6, BACKUP_LIFETIME), (17, 120.0)):
--- a/tests/test_systems/test_flow_search.py
+++ b/tests/test_systems/test_flow_search.py
@@ -1,4 +1,4 @@
-"""Second chance: finding the target of a flow whose owner was lost."""
+"""Flow search: finding the target of a flow whose owner was lost."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def search_to_end(core, flow, answer_at=None, now=1.0):
-    """Offer a data packet of an unknown flow; targets reset until one answers.
+    """Send a data packet of an unknown flow; targets reset until one answers.
 
-    Returns the ids offered and the actions that ended the walk.
+    Returns the ids of the probed targets and the actions that ended the search.
     """
     actions = core.receive(driver.from_caller(flow, data=b"data"), now)
     offered = []
@@ -29,11 +29,11 @@
 
 
 def test_unknown_flow_is_found_on_any_target(snapshot):
-    """A poet's upload goes on although its owner died mid-stream.
+    """An upload continues although its owner died.
 
-    The new owner has never seen the flow, which may be on any of seven targets.
-    Each that does not hold it answers with a reset; the caller sees none of them,
-    and the one that acknowledges the data is bound.
+    The new owner does not know the flow, which may be on any of seven targets. Each
+    target that does not hold it answers with a reset, which does not reach the caller.
+    The target that acknowledges the data is bound.
     """
     for holder in range(7):
         core = driver.make_core(snapshot)
@@ -45,12 +45,12 @@
         assert core.tables.flows.rows[flow].target.target.target_id == offered[-1]
 
 
-def test_reset_reaches_caller_only_when_every_target_said_so(snapshot):
-    """A flow that no target holds ends with a reset, after the last target's.
+def test_reset_reaches_caller_only_when_every_target_has_reset(snapshot):
+    """A flow that no target holds is reset once the last target has reset it.
 
-    The caller's connection is gone everywhere (its target restarted). Six resets
-    are swallowed, since the seventh target might hold the flow; the last one
-    proves that none does and is passed on, so that the caller does not hang.
+    The caller's connection no longer exists, as its target restarted. Six resets are
+    dropped, since the seventh target might hold the flow. The last one proves that none
+    does and is forwarded, so that the caller does not hang.
     """
     core = driver.make_core(snapshot)
     offered, actions = search_to_end(core, driver.flow_to())
@@ -60,11 +60,11 @@
 
 
 def test_no_reset_while_a_peer_knows_a_newer_revision(snapshot):
-    """A stream on a target this host has not heard of is not reset.
+    """A flow on a target that this host does not know is not reset.
 
-    Another host applied revision 2, which added a target, and placed the flow
-    there. This host, still at 1, asks all seven targets it knows. Their resets
-    prove nothing, so the caller gets silence and retransmits.
+    Another host applied revision 2, which added a target, and placed the flow there.
+    This host, still at 1, probes all seven targets it knows. Their resets prove
+    nothing, so the caller gets no answer and retransmits.
     """
     core = driver.make_core(snapshot, hosts=2)
     core.tables.hosts["host-1"].revision = 2
@@ -77,11 +77,11 @@
     assert flow not in core.tables.searches
 
 
-def test_no_reset_while_a_target_is_silent(snapshot):
-    """A stream on a target that is cut off is not reset.
+def test_no_reset_while_a_target_is_unresponsive(snapshot):
+    """A flow on an unreachable target is not reset.
 
-    Two targets do not answer; the flow may be on either. The caller gets silence
-    and its retransmission starts another walk.
+    Two targets do not answer; the flow may be on either. The caller gets no answer and
+    its retransmission starts another search.
     """
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
@@ -98,11 +98,11 @@
     assert flow not in core.tables.flows.rows
 
 
-def test_only_silent_target_holds_the_flow(snapshot):
-    """A reader who only acknowledges a preview keeps it.
+def test_only_unresponsive_target_holds_the_flow(snapshot):
+    """A caller that only sends acknowledgements keeps its connection.
 
-    A bare acknowledgement is answered by no target that holds the flow, so the
-    holder is silent while six others reset. The flow can live nowhere else.
+    A target that holds the flow does not answer a bare acknowledgement, so it does
+    not respond while the six others reset. The flow can only be on that one.
     """
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
@@ -120,11 +120,11 @@
 
 
 def test_answer_of_an_earlier_connection_does_not_bind(snapshot):
-    """A stream is not sent to a target that only remembers an older flow.
+    """A flow is not bound to a target that only remembers an earlier connection.
 
     The caller's port was used before: a target in TIME-WAIT of that connection
-    acknowledges its old numbers. They are far from the probe's, so it is no
-    holder; the walk goes on to the one that is.
+    acknowledges its old numbers. They are far from those of the probe, so this target
+    does not hold the flow. The search continues to the one that does.
     """
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
@@ -135,10 +135,10 @@
 
 
 def test_answer_from_a_target_binds_an_unknown_flow(snapshot):
-    """A preview goes on at once although its owner was replaced.
+    """A download continues immediately although its owner was replaced.
 
-    The new owner knows nothing, but the target streams on: a packet of data from
-    a target of the account shows where the flow lives, without any walk.
+    The new owner does not know the flow, but the target keeps sending. A data packet
+    from a target of the account shows that the target holds the flow, without a search.
     """
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
@@ -147,11 +147,11 @@
     assert core.tables.flows.rows[flow].target.target.target_id == "bundelpers-3"
 
 
-def test_second_ranked_host_answers_before_the_targets(snapshot):
-    """A host that joined and took a flow over asks the one that had it.
+def test_backup_host_is_queried_before_the_targets(snapshot):
+    """A host that joined and took a flow over queries the previous owner.
 
-    The former owner now ranks second. It forwards the packet itself and tells the
-    new owner the target: no target sees a packet of a flow it does not hold.
+    The previous owner is now the backup host. It forwards the packet itself and sends
+    the new owner the binding: no target gets a packet of a flow that it does not hold.
     """
     joined = driver.make_core(snapshot, hosts=2, index=0)
     former = driver.make_core(snapshot, hosts=2, index=1)
@@ -173,12 +173,12 @@
     assert row.state == FlowState.ESTABLISHED
 
 
-def test_walk_is_bounded_with_300_targets():
-    """The walk covers every placement and stays short with 300 targets.
+def test_search_is_bounded_with_300_targets():
+    """A search covers every possible placement and stays short with 300 targets.
 
-    The account grew from 100 targets in steps of ten, so flows may live on what
-    ranked among the first 16 at any of the 21 revisions. The list holds all of
-    these, and on the average about 16 * (1 + ln 3) = 34 targets rather than 300.
+    The account grew from 100 targets in steps of ten, so a flow may be on any target
+    that ranked among the first 16 at one of the 21 revisions. The list contains all of
+    these, on average about 16 * (1 + ln 3) = 34 targets rather than 300.
     """
     account = make_account(targets=300)
     targets = [
@@ -201,11 +201,11 @@
     assert sum(lengths) / len(lengths) < 37
 
 
-def test_walk_reaches_a_target_pushed_out_of_the_window(snapshot):
-    """A long upload survives growth of the target set and loss of its owner.
+def test_search_reaches_a_target_pushed_out_of_the_window(snapshot):
+    """A flow is found after growth of the target set and loss of its owner.
 
-    It was placed on the only target; then 60 more were added, sixteen of which
-    outrank it, and its owner died. The walk still ends at its target.
+    It was placed on the only target. Then 60 more were added, sixteen of which rank
+    higher, and its owner died. The search still finds its target.
     """
     account = make_account(targets=61)
     first, *others = account.targets
@@ -219,11 +219,11 @@
         assert first.target_id in [item.target.target_id for item in possible]
 
 
-def test_silent_target_is_not_taken_for_the_holder_while_uncertain(snapshot):
-    """A stream is not sent to the wrong target for want of a newer revision.
+def test_unresponsive_target_is_not_bound_while_a_revision_is_missing(snapshot):
+    """A flow is not bound to the wrong target because of a missing revision.
 
-    A peer tells of revision 2, whose new target this host does not know. Six of
-    seven targets say no and one is silent, but the flow may be on the eighth.
+    A peer reports revision 2, whose new target this host does not know. Six of seven
+    targets reset and one does not respond, but the flow may be on the eighth.
     """
     core = driver.make_core(snapshot, hosts=2)
     core.tables.hosts["host-1"].revision = 2
@@ -242,10 +242,10 @@
 
 
 def test_data_replaces_a_bare_acknowledgement_as_the_probe(snapshot):
-    """An upload that starts with a bare acknowledgement does not wait for timeouts.
+    """An upload that begins with a bare acknowledgement does not wait for time-outs.
 
-    No target answers that one, holder or not. The data that follows is held no
-    longer than it takes to start over with it, at the target that is asked now.
+    No target answers that packet, whether it holds the flow or not. When data follows,
+    the probing restarts with it at once, at the current target.
     """
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
@@ -256,12 +256,12 @@
     assert driver.kinds(actions) == ["SendToCaller", "SendToTarget"]
 
 
-def test_syn_ack_that_the_caller_did_not_take_ends_no_search(snapshot):
-    """An upload is not bound to the target whose answer its caller ignored.
+def test_syn_ack_that_the_caller_did_not_accept_ends_no_search(snapshot):
+    """An upload is not bound to a target whose SYN-ACK its caller did not accept.
 
-    A second placement of its SYN left a half-open connection, whose target repeats
-    its SYN-ACK while the search goes on. Its number is not the one the caller
-    acknowledged, however near; the SYN-ACK of the right target would be.
+    A second placement of its SYN left a half-open connection, whose target repeats its
+    SYN-ACK during the search. Its number is not the one that the caller acknowledged,
+    even if close; the SYN-ACK of the right target has that number.
     """
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
@@ -277,12 +277,12 @@
     assert row.target.target.target_id == "bundelpers-2"
 
 
-def test_answers_teach_within_the_table(snapshot):
-    """A target that speaks for unknown flows fills no table and keeps no row long.
+def test_answers_for_unknown_flows_do_not_fill_the_table(snapshot):
+    """Answers for unknown flows do not fill the table or keep rows for long.
 
-    An unconfirmed SYN-ACK is remembered no longer than an opening may take. An ICMP
-    error says where a flow is not, and a full table learns nothing; all is passed
-    on or dropped without a row.
+    The row of an unconfirmed SYN-ACK is kept no longer than an opening may take. An
+    ICMP error does not show which target holds the flow, and a full table takes no new
+    row; all these packets are forwarded or dropped without one.
     """
     core = driver.make_core(snapshot)
     rows = core.tables.flows.rows
--- a/tests/test_systems/test_openings.py
+++ b/tests/test_systems/test_openings.py
@@ -1,4 +1,4 @@
-"""Openings: doubled placement, retries, refusals, port reuse, datagrams."""
+"""Openings: doubled placement, retries, refusals, port reuse and datagrams."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from citronspring.tcp_flags import ACK, RST, SYN
 from tests.test_systems import driver
 
-#: Initial number of a target that another host placed the SYN on.
+#: Initial sequence number of a target on which another host placed the SYN.
 OTHER_SEQ = driver.TARGET_SEQ + (1 << 28)
 
 
@@ -44,13 +44,14 @@
 
 
 @pytest.mark.parametrize("answered", [False, True])
-def test_caller_took_the_answer_of_another_placement(snapshot, answered):
-    """A poet's upload goes to the target whose answer the poet got.
-
-    Two hosts with different views each placed the SYN, and the caller took the
-    answer of the other's target. This owner sees an acknowledgement of numbers its
-    own target never sent. It searches, without asking for the copy of its error;
-    the wrong target's reset and SYN-ACK reach nobody.
+def test_caller_accepted_the_answer_of_another_placement(snapshot, answered):
+    """An upload goes to the target whose answer the caller received.
+
+    Two hosts with different views each placed the SYN, and the caller accepted the
+    answer of the other host's target. This owner gets an acknowledgement of numbers
+    that its own target never sent. It searches, without querying the backup host, whose
+    binding has the same error. The wrong target's reset and SYN-ACK do not reach the
+    caller.
     """
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core)
@@ -73,11 +74,11 @@
 
 
 def test_reset_for_another_placement_does_not_reach_the_caller(snapshot):
-    """An upload is not reset by a target it was never on.
+    """An upload is not reset by a target that never held it.
 
-    The caller's first packet, meant for the target another host chose, came to
-    this host's target by a host with an older view. That target answers with a
-    reset whose number fits the caller's connection exactly.
+    The caller's first packet was meant for the target that another host chose. A host
+    with an older view sent it to this host's target. That target answers with a reset
+    whose number fits the caller's connection exactly.
     """
     for stage in (FlowState.OPENING, FlowState.ANSWERED):
         core = driver.make_core(snapshot)
@@ -91,7 +92,7 @@
         assert core.tables.flows.rows[flow].state == stage
 
 
-def test_target_that_resets_its_own_answer_is_believed(snapshot):
+def test_reset_of_a_targets_own_answer_is_forwarded(snapshot):
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
     target_id = start_opening(core, flow)
@@ -101,10 +102,10 @@
 
 
 def test_owner_learns_of_an_opening_from_its_answer(snapshot):
-    """A page opens at once while hosts disagree about its owner.
+    """A connection opens at once while hosts disagree about its owner.
 
-    Another host placed the SYN, and the target's answer comes here. To drop it
-    would cost the caller a timeout and place the SYN on a second target.
+    Another host placed the SYN, and the target's answer arrives here. Dropping it would
+    cost the caller a time-out and place the SYN on a second target.
     """
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
@@ -126,11 +127,11 @@
             core.receive(driver.from_caller(flow), 0.4)
 
 
-def test_reused_port_gets_no_answer_of_the_flow_before(snapshot):
-    """A clerk who reuses a port at once never sees another request's answer.
+def test_reused_port_gets_no_answer_of_the_earlier_flow(snapshot):
+    """A caller that reuses a port at once never gets the answer to another request.
 
-    The first flow was closed; a late answer of its target comes after the second
-    flow of the same tuple was opened on another. Only the target that the tuple is
+    The first flow was closed; a late answer of its target arrives after the second flow
+    of the same tuple was opened on another target. Only the target that the tuple is
     bound to now may answer; before that, the closed flow's own target still may.
     """
     core = driver.make_core(snapshot)
@@ -152,12 +153,12 @@
     assert drop.reason is DropReason.STALE_ANSWER
 
 
-def test_shedding_targets_are_tried_and_then_the_caller_is_refused(snapshot):
-    """A bookseller is told at once, and truly, that nothing was run.
+def test_refusing_targets_are_tried_and_then_the_caller_is_refused(snapshot):
+    """A caller is told at once, and correctly, that nothing was run.
 
-    Every target sheds the SYN with a reset, while their endpoints say healthy. Each
-    is tried once; then the refusal goes out in the same instant, with the time from
-    which to try again, and not after a timeout.
+    Every target refuses the SYN with a reset, while their endpoints report healthy.
+    Each is tried once. Then the refusal is sent immediately, without a time-out, with
+    the time from which to try again.
     """
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
@@ -167,7 +168,7 @@
         tried += sent
         actions = core.receive(syn_refusal(flow, tried[-1]), 0.01)
     assert sorted(tried) == sorted(row.target.target_id for row in targets_of(core))
-    # No resets: a target that refused holds nothing that could be open.
+    # No resets: a target that refused holds no open connection.
     [refusal] = actions
     assert refusal.reason is RefusalReason.NO_HEALTHY_TARGET
     assert refusal.retry_at > 0.01
@@ -179,8 +180,8 @@
     return core.tables.accounts["bundelpers"].targets
 
 
-def refuse_after_silence(core, flow):
-    """Let every target stay silent; return the ids tried, and the refusal's actions."""
+def refuse_after_time_outs(core, flow):
+    """Let no target respond; return the ids tried and the actions of the refusal."""
     tried = [start_opening(core, flow)]
     for step in range(102):
         actions = driver.expire(core, step * 0.05)
@@ -194,32 +195,32 @@
     raise AssertionError("never refused")
 
 
-def test_silent_targets_are_tried_until_the_caller_is_refused(snapshot):
-    """A caller whose SYN nobody answers is refused in time, and nothing is reset.
+def test_unresponsive_targets_are_tried_until_the_caller_is_refused(snapshot):
+    """A caller whose SYN nobody answers is refused in time, and no target is reset.
 
-    Targets take the SYN and say nothing. One after the other is tried, past the
-    second-ranked host, which may be why nothing came. Any of them may have answered
-    the caller through a host with another view: a reset would end the connection
-    that the caller holds open. All ends within the account's opening timeout.
+    Targets accept the SYN and do not answer. One after the other is tried, bypassing
+    the backup host, which may be the cause. Any of them may have answered the caller
+    through a host with another view: a reset would end the connection that the caller
+    holds open. All this takes no longer than the account's opening time-out.
     """
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core)
-    tried, [refusal] = refuse_after_silence(core, flow)
+    tried, [refusal] = refuse_after_time_outs(core, flow)
     assert refusal.reason is RefusalReason.OPENING_TIMEOUT
     assert len(tried) == len(set(tried)) >= 5
     assert open_count(core) == 0
 
 
-def test_refused_caller_ends_a_late_answer_itself(snapshot):
-    """A caller that was refused has no connection anywhere.
+def test_refused_caller_resets_a_late_answer_itself(snapshot):
+    """A caller that was refused has no open connection.
 
-    A target's answer comes after the refusal. It is passed on, since the caller may
-    hold it open by way of another host; a refused caller's stack resets it, and the
-    reset reaches that target. Nothing of the caller's data ever went there.
+    A target's answer arrives after the refusal. It is forwarded, since the caller may
+    have a connection through another host. A refused caller's stack resets it, and the
+    reset reaches that target. None of the caller's data was ever sent there.
     """
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core)
-    tried, _ = refuse_after_silence(core, flow)
+    tried, _ = refuse_after_time_outs(core, flow)
     caller = Connection.connect(driver.CALLER_SEQ, 0.0)
     refusal = Segment(RST | ACK, 0, driver.CALLER_SEQ + 1, b"opening-timeout")
     caller.receive(refusal, 5.0)
@@ -235,10 +236,10 @@
 
 @pytest.mark.parametrize("confirm", [False, True])
 def test_no_refusal_once_the_caller_was_answered(snapshot, confirm):
-    """A clerk whose correction may have run is never told that it was not.
+    """A caller whose request may have run is never told that it was not.
 
-    After the caller has confirmed the target's answer its data may have run; what
-    ends such a flow is the target's own reset, and time alone refuses nothing.
+    After the caller has confirmed the target's answer, its data may have run. Only the
+    target's own reset ends such a flow, and no time-out refuses it.
     """
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
@@ -255,8 +256,8 @@
 def test_unconfirmed_opening_leaves_nothing(snapshot):
     """A flood of forged SYNs does not use up an account's connections.
 
-    The targets answer, and nobody confirms. Had the rows the idle time of an hour,
-    the account would be full, and its real callers refused.
+    The targets answer, and nobody confirms. If the rows were kept for the idle time-out
+    of an hour, the account would be full and its real callers refused.
     """
     core = driver.make_core(snapshot)
     for port in range(40_000, 40_050):
@@ -269,10 +270,10 @@
 
 
 def test_host_that_is_not_the_owner_places_nothing(snapshot):
-    """An opening is placed once while views differ.
+    """An opening is placed once while membership views differ.
 
-    Another host still takes this one for the owner. To place the SYN here would
-    place it twice, for the answer and all that follows go to the new owner.
+    Another host still considers this one the owner. Placing the SYN here would place it
+    twice, as the answer and all later packets go to the new owner.
     """
     core = driver.make_core(snapshot, hosts=3)
     flow = driver.owned_flow(core, owner=False)
@@ -299,7 +300,7 @@
 def test_datagram_flow_goes_to_the_same_target_from_any_host(snapshot):
     """An answer to a datagram comes from the target that knows the conversation.
 
-    Nothing like a reset tells where such a flow lives. Hosts that never saw it
+    No answer like a reset shows which target holds such a flow. Hosts that never saw it
     still agree on its first-ranked target while load is even.
     """
     for port in range(40_000, 40_020):
@@ -312,11 +313,12 @@
         assert len(placed) == 1
 
 
-def test_copy_of_a_datagram_flow_prevails(snapshot):
-    """A datagram conversation goes on although its owner was replaced.
+def test_backup_of_a_datagram_flow_takes_precedence(snapshot):
+    """A datagram flow continues although its owner was replaced.
 
-    The second-ranked host holds a copy; the new owner, which knows nothing, places
-    the flow elsewhere. The copy's target gets the packet, and the owner is told.
+    The backup host holds its binding; the new owner, which does not know the flow,
+    places it elsewhere. The backup host sends the packet to its own target and tells
+    the owner.
     """
     second = driver.make_core(snapshot, hosts=2, index=1)
     flow = driver.owned_flow(second, owner=False)
@@ -338,9 +340,9 @@
 def test_refused_datagram_is_offered_to_one_other_target(snapshot):
     """A query is not run twice, and its refusal is not hidden.
 
-    A target that refuses a datagram (ICMP port unreachable) ran nothing, so one
-    other is tried. Its refusal, or one after further datagrams were sent, reaches
-    the caller: any of those may have run.
+    A target that refuses a datagram (ICMP port unreachable) ran nothing, so one other
+    is tried. Its refusal, or one after further datagrams were sent, reaches the caller,
+    as any of those may have run.
     """
     core = driver.make_core(snapshot)
     flow = driver.flow_to(protocol=17)
@@ -357,7 +359,7 @@
     assert driver.kinds(actions) == ["SendToCaller"]
 
 
-def test_closed_tuple_is_forgotten_after_time_wait(snapshot):
+def test_closed_tuple_is_removed_after_time_wait(snapshot):
     core = driver.make_core(snapshot)
     flow = driver.flow_to()
     target_id = driver.open_flow(core, flow)
--- a/tests/test_systems/test_ownership.py
+++ b/tests/test_systems/test_ownership.py
@@ -1,4 +1,4 @@
-"""Ownership: who owns a flow, and what a change of owners does to its row."""
+"""Ownership: the owner of a flow, and the effect of a new owner on its row."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 def test_flows_move_only_to_or_from_the_host_that_changed(snapshot):
-    """A planned stop of one host does not disturb the flows of the others."""
+    """A planned stop of one host does not affect the flows of the others."""
     core = driver.make_core(snapshot, hosts=6)
     flows = [driver.flow_to(port=port) for port in range(40_000, 40_500)]
     before = {flow: core.tables.owners.owner_and_backup(flow) for flow in flows}
     set_state(core, "host-3", HostState.LEAVING)
-    for flow, (owner, second) in before.items():
+    for flow, (owner, backup) in before.items():
         now_owner = core.tables.owners.owner_and_backup(flow)[0]
-        assert now_owner == (second if owner == "host-3" else owner)
+        assert now_owner == (backup if owner == "host-3" else owner)
     set_state(core, "host-3", HostState.SUSPECT)
     assert {flow: core.tables.owners.owner_and_backup(flow) for flow in flows} == before
 
 
-def test_owner_that_loses_a_flow_keeps_an_uncounted_copy(snapshot):
-    """A target does not look twice as full while owners change."""
+def test_owner_that_loses_a_flow_keeps_an_uncounted_backup(snapshot):
+    """A target's flows are not counted twice while owners change."""
     core = driver.make_core(snapshot, hosts=2)
     set_state(core, "host-1", HostState.DEAD)
     flows = [driver.flow_to(port=port) for port in range(40_000, 40_040)]
@@ -49,7 +49,7 @@
 def test_opening_of_a_flow_that_moved_is_not_refused_here(snapshot):
     """A caller is not refused by a host that no longer owns its opening.
 
-    The answers go to the new owner, so that here it looks as if none had come.
+    The answers go to the new owner, so this host receives none.
     """
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core)
@@ -60,14 +60,14 @@
     assert not core.tables.openings
 
 
-def test_last_host_goes_on_serving(snapshot):
-    """A host that is leaving, with no other in sight, drops nothing."""
+def test_last_host_keeps_serving(snapshot):
+    """A leaving host that knows no other drops no packets."""
     core = driver.make_core(snapshot)
     set_state(core, "host-0", HostState.LEAVING)
     assert driver.open_flow(core, driver.flow_to()) in core.tables.targets
 
 
-def test_other_groups_own_nothing_here(snapshot):
+def test_hosts_of_other_groups_own_no_flows_here(snapshot):
     core = driver.make_core(snapshot, hosts=3)
     core.tables.group = "elsewhere"
     update_owners(core.tables, 1.0)
--- a/tests/test_systems/test_placement.py
+++ b/tests/test_systems/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: which target takes a new flow."""
+"""Placement: which target a new flow gets."""
 
 from __future__ import annotations
 
@@ -46,11 +46,11 @@
 
 
 def test_only_candidates_within_the_window_take_a_flow():
-    """A flow whose owner is lost is found by asking few of many targets.
+    """A flow whose owner is lost is found by probing few of many targets.
 
-    With hundreds of targets a flow goes to one of its first-ranked ones, and when
-    these are full to a later one, but never below the window: a host that does not
-    know the flow searches no further.
+    With hundreds of targets a flow goes to one of its first-ranked ones, and when these
+    are full to a later one, but never below the window: a host that does not know the
+    flow searches no further.
     """
     core = driver.make_core(Snapshot(1, (make_account(targets=100),)))
     flow = driver.flow_to()
@@ -74,7 +74,7 @@
     assert len(taken) == count
 
 
-def test_full_targets_are_told_from_sick_ones(snapshot):
+def test_full_and_ejected_targets_give_different_refusals(snapshot):
     core = driver.make_core(snapshot)
     for row in account_of(core).targets:
         row.flows = row.target.max_connections
@@ -82,9 +82,9 @@
 
 
 def test_new_target_waits_until_every_host_knows_it(snapshot):
-    """A host that has not heard of a target takes no flow on it for lost.
+    """A host that does not know a target yet must not fail to find a flow on it.
 
-    The target is placed on only when the change has had time to reach all.
+    Flows are placed on the target only when the change has had time to reach all hosts.
     """
     core = driver.make_core(snapshot)
     account = snapshot.accounts[0]
@@ -100,10 +100,10 @@
 
 
 def test_datagrams_leave_their_first_target_only_when_it_is_loaded(snapshot):
-    """A datagram flow is found again although both hosts that knew it are lost.
+    """A datagram flow is found again although both hosts with its binding are lost.
 
-    Every host would place it on its first-ranked target. With few flows on a host
-    a bound relative to the mean alone would make each flow an exception.
+    Every host would place it on its first-ranked target. With few flows on a host, a
+    bound relative to the mean alone would make each flow an exception.
     """
     core = driver.make_core(snapshot)
     flow = driver.flow_to(protocol=17)
@@ -117,10 +117,10 @@
 def test_joining_host_waits_with_the_newest_targets(snapshot):
     """An upload survives the loss of a host that had only just joined.
 
-    A target is added; a host joins, which reads the newest configuration at once,
-    while the others have heard of neither. Were it to place a flow on that target
-    and die, the next owner would ask all targets it knows, hear no from each, and
-    reset the stream. Targets of earlier revisions are known to all.
+    A target is added. A host joins and reads the newest configuration at once, while
+    the others know of neither. If it placed a flow on that target and died, the next
+    owner would probe all targets it knows, get a reset from each, and reset the flow.
+    Targets of earlier revisions are known to all hosts.
     """
     old = make_account(targets=7)
     targets = list(make_account(targets=8).targets)
@@ -135,11 +135,11 @@
     assert choose(core, flow, PLACEMENT_DELAY) is fresh
 
 
-def test_targets_that_trade_addresses_or_accounts_are_not_lost(snapshot):
-    """A host that slept through two steps of a move applies both at once.
+def test_targets_that_exchange_addresses_or_accounts_are_not_lost(snapshot):
+    """A host that was stalled during two steps of a move applies both at once.
 
-    Two targets trade tunnel addresses, and one moves to another account. Applied
-    one after the other, the second change must not undo what the first has set.
+    Two targets exchange tunnel addresses, and one moves to another account. Applying
+    the second change must not undo what the first has set.
     """
     first, second = snapshot.accounts
     one, two, *rest = first.targets
--- a/tests/test_systems/test_routing.py
+++ b/tests/test_systems/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing: one relay, foreign sources, unknown services, hints, IPv6 keys."""
+"""Routing: single relays, foreign sources, unknown services, hints, IPv6 keys."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 
 
 def test_packet_is_relayed_to_its_owner_once(snapshot):
-    """A page loads although hosts differ about who owns its flow.
+    """A connection works although hosts disagree about the owner of its flow.
 
-    One host relays a packet to the owner it knows. That host, whose view is newer,
-    passes it on to the next one as a question, and a question goes no further: no
-    two views can send a packet round in circles.
+    One host relays a packet to the owner in its view. That host, whose view is newer,
+    sends it on to the next one as a query, and a query is not relayed further: no two
+    views can send a packet around in circles.
     """
     core = driver.make_core(snapshot, hosts=3)
     flow = driver.owned_flow(core, owner=False)
@@ -61,11 +61,11 @@
 @pytest.mark.parametrize("source", ["inzendloket-0", "nobody"])
 @pytest.mark.parametrize("relay", [False, True])
 def test_answer_of_a_foreign_source_is_dropped(snapshot, source, relay):
-    """A reader of previews never sees bytes of the upload service.
+    """A caller never receives data of another client account.
 
     A target of another client account answers for a flow of this one, directly or
-    through another host. Only targets of the account that has the service address
-    may speak for it.
+    through another host. Only targets of the account that has the service address may
+    answer for it.
     """
     core = driver.make_core(snapshot)
     known, unknown = driver.flow_to(), driver.flow_to(port=50_000)
@@ -115,13 +115,13 @@
         (RST, False, "Relay"),
     ],
 )
-def test_hint_serves_only_packets_that_change_no_state(
+def test_hint_applies_only_to_packets_that_change_no_state(
     snapshot, flags, from_caller, kind
 ):
-    """A closed preview does not linger, and a new one is placed by its owner.
+    """A closed flow does not stay open, and a new one is placed by its owner.
 
-    A packet that opens or ends a flow passes the owner, hint or not, and what
-    follows it at this host does so too.
+    A packet that opens or ends a flow goes through the owner, with or without a hint,
+    and so do the packets that follow it at this host.
     """
     core, flow = hinted_core(snapshot)
     event = driver.from_caller(flow, flags)
@@ -132,11 +132,11 @@
 
 
 def test_hint_ends(snapshot):
-    """A stream is not led astray by what an earlier view of the hosts said.
+    """A flow is not forwarded by a hint from an earlier membership view.
 
-    A hint holds for seconds, only under the ring it was made under (even if that
-    comes back, for another host may have rebound the flow in between), only for
-    its target, and only from the flow's owner.
+    A hint is valid for seconds, only under the version of the owner table it was given
+    under (even if the same owners return, as another host may have rebound the flow in
+    between), only for its target, and only from the flow's owner.
     """
     core, flow = hinted_core(snapshot)
     kinds = driver.kinds(core.receive(driver.from_caller(flow), hints.HINT_LIFETIME))
@@ -167,10 +167,10 @@
 
 
 def test_hints_are_bounded_and_expire_behind_a_renewed_one(snapshot, monkeypatch):
-    """Long streams keep their short way out while one of them never ends.
+    """Long flows keep their hints while one of them never ends.
 
-    Hints are dropped oldest first. One that was renewed again and again stood at
-    the head for ever, and those behind it filled the table.
+    Hints are dropped oldest first. One that was renewed repeatedly stayed at the head
+    for ever, and those behind it filled the table.
     """
     monkeypatch.setattr(hints, "MAX_HINTS", 3)
     core, first = hinted_core(snapshot)
@@ -186,7 +186,7 @@
 
 
 def test_flow_over_ipv6_is_kept(snapshot):
-    """A core takes IPv6 keys as they are; only the carrier must learn to read them."""
+    """A core takes IPv6 keys as they are; only the packet I/O needs to read them."""
     address = ServiceAddress("2001:db8::1", 443, Protocol.TCP)
     account = replace(snapshot.accounts[0], addresses=(address,))
     core = driver.make_core(Snapshot(1, (account,)))
@@ -198,12 +198,12 @@
     assert send.packet.flow == flow
 
 
-def test_no_refusal_of_a_service_that_may_only_be_unknown_here(snapshot):
-    """A caller of a service that was just accepted is not told there is none.
+def test_service_that_may_only_be_unknown_here_is_not_refused(snapshot):
+    """A caller of a service that was just accepted is not told that there is none.
 
-    A host that started a moment ago has no configuration, and one that missed a
-    record has an older one than its peer. Both stay silent; the caller's next SYN
-    finds a host that knows. Only a host that is up to date refuses.
+    A host that has just started has no configuration, and one that missed a record has
+    an older one than its peer. Neither responds; the caller's next SYN reaches a host
+    that knows the service. Only a host that is current refuses.
     """
     flow = driver.owned_flow(driver.make_core(snapshot, hosts=2), start=40_000)
     unknown = flow_key(6, "192.0.2.99", 443, "198.51.100.7", 40_000)
@@ -216,7 +216,7 @@
 
 
 def moved(snapshot, revision=2):
-    """Return the configuration in which the account's address is another's."""
+    """Return the configuration in which the account's address belongs to another."""
     first, second = snapshot.accounts
     addresses = second.addresses
     return Snapshot(
@@ -231,12 +231,13 @@
 @pytest.mark.parametrize(
     "kind", [RelayKind.TO_OWNER, RelayKind.PROPOSE, RelayKind.BIND, RelayKind.HINT]
 )
-def test_host_with_an_older_configuration_leads_no_packet_astray(snapshot, kind):
-    """A packet for bundelpers never reaches inzendloket, whatever a peer believes.
+def test_messages_of_a_host_with_an_older_configuration_are_ignored(snapshot, kind):
+    """A packet never reaches another client account, whatever a peer's configuration.
 
-    A service address moved from one client account to another. A host that has not
-    heard of it relays an answer of, proposes, binds or hints at a target of the
-    account that had the address. This host knows better and takes none of it.
+    A service address moved from one client account to another. A host that does not
+    know this yet relays an answer of, proposes, binds or hints at a target of the
+    account that had the address. This host has the newer configuration and ignores all
+    of it.
     """
     core = driver.make_core(snapshot, hosts=3)
     owner = kind is not RelayKind.HINT
@@ -262,11 +263,11 @@
 
 @pytest.mark.parametrize("protocol", [6, 17])
 def test_new_flow_to_a_moved_address_goes_to_its_new_account(snapshot, protocol):
-    """A caller who comes back after an address has moved meets its new owner.
+    """A caller that comes back after an address has moved reaches the new account.
 
     The tuple is still bound to a target of the account that had the address. That
-    binding must not place a new flow, and a datagram flow has no other beginning
-    than its next packet.
+    binding must not determine the target of a new flow, and a datagram flow has no
+    other beginning than its next packet.
     """
     core = driver.make_core(snapshot)
     flow = driver.flow_to(protocol=protocol)
@@ -277,12 +278,12 @@
     assert (old.split("-")[0], placed.split("-")[0]) == ("bundelpers", "inzendloket")
 
 
-def test_stream_outlives_the_removal_of_its_address(snapshot):
-    """An upload that is under way survives the removal of its service address.
+def test_open_flow_survives_the_removal_of_its_address(snapshot):
+    """An upload in progress survives the removal of its service address.
 
-    The operator takes the address from the account, which ends new flows only. The
-    owner keeps the stream, a host that must search finds it, and only when another
-    account is given the address does it end.
+    The operator removes the address from the account, which ends new flows only. The
+    owner keeps the flow, a host that must search finds it, and it ends only when
+    another account gets the address.
     """
     account = snapshot.accounts[0]
     removed = Snapshot(2, (replace(account, addresses=()), *snapshot.accounts[1:]))
