--- a/citronspring/systems/control.py
+++ b/citronspring/systems/control.py
@@ -1,4 +1,4 @@
-"""Control messages: handing each to the system it concerns."""
+"""Dispatch of control messages to the systems that handle them."""
 
 from __future__ import annotations
 
@@ -52,9 +52,10 @@
         case Ping() | Ack() | PingRequest() | Gossip() | MembersRequest():
             apply_updates(tables, message.updates, now)
     if isinstance(message, Ping):
-        apply_updates(tables, message.members, now, news=False)
+        apply_updates(tables, message.members, now, forward_updates=False)
     if sender not in tables.hosts or sender == tables.host_id:
-        # There is no address to answer to; a host in doubt introduces itself.
+        # The sender's address is unknown, so it cannot be answered. It includes its
+        # addresses when it retries an unanswered ping.
         tables.counters["control.unknown-sender"] += 1
         return
     tables.membership.heard_at = now
@@ -68,7 +69,7 @@
 def dispatch(
     tables: Tables, sender: str, message: object, now: float, actions: list[Action]
 ) -> None:
-    """Hand a message to its system."""
+    """Pass a message to the system that handles it."""
     match message:
         case Ping():
             receive_ping(tables, sender, message, actions)
--- a/citronspring/systems/drain.py
+++ b/citronspring/systems/drain.py
@@ -1,4 +1,4 @@
-"""Leaving: a host that stops hands over its flows and exits by a deadline."""
+"""Leaving: a stopping host hands over its flows and exits by a deadline."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def request_leave(tables: Tables, deadline: float, now: float) -> None:
-    """Start leaving: others stop relaying here, and take over the flows."""
+    """Start leaving: other hosts stop relaying here and take over the flows."""
     if tables.leave_deadline is None:
         tables.leave_deadline = deadline
         tables.last_packet_at = now
@@ -25,7 +25,7 @@
 
 
 def check_leaving(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Let the process exit once it is quiet, or its deadline has passed."""
+    """Let the process exit once no packets arrive or its deadline has passed."""
     if tables.leave_deadline is None:
         return
     quiet = now - tables.last_packet_at >= QUIET_TIME
--- a/citronspring/systems/fence.py
+++ b/citronspring/systems/fence.py
@@ -1,8 +1,8 @@
-"""Fence: a host whose clock jumped forwards nothing until it knows it is current.
+"""Fence: after a clock jump a host forwards nothing until it is current again.
 
-A frozen host sleeps through changes. When it wakes, packets that waited in its
-sockets would go where the configuration of before the freeze sends them, perhaps
-to an address that has moved to another client account meanwhile.
+A stalled host misses configuration changes. When it resumes, packets that waited in its
+sockets would be forwarded by the configuration from before the stall, possibly to an
+address that has moved to another client account since.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
     from citronspring.messages import Action
     from citronspring.tables import Tables
 
-#: Seconds between two ticks from which on the clock counts as having jumped. Less
-#: than an opening waits for its target: a SYN-ACK that waited here longer belongs to
-#: a connection that its owner has reset meanwhile.
+#: Seconds between two ticks from which on the clock counts as having jumped. This is
+#: less than an opening waits for its target: a SYN-ACK that waited here for longer
+#: belongs to a connection that its owner has reset in the meantime.
 CLOCK_JUMP = 0.5
 
-#: Seconds after which a host cut off from everybody serves what it can again.
+#: Seconds after which a host that reaches nobody forwards again.
 FENCE_TIMEOUT = 2.0
 
-#: Seconds between two rounds of questions.
+#: Seconds between two rounds of queries.
 QUERY_INTERVAL = 0.25
 
-#: Peers asked in a round.
+#: Peers queried per round.
 PEERS_PER_QUERY = 3
 
 
@@ -55,10 +55,10 @@
 
 
 def discard_openings(tables: Tables) -> None:
-    """Drop openings and searches under way; another host has them by now.
+    """Drop pending openings and searches; another host has taken them over by now.
 
-    Their deadlines passed while nobody listened. To refuse the caller for that, or
-    to try another target, could meet a connection that is established elsewhere.
+    Their deadlines passed during the stall. Refusing the caller, or trying another
+    target, could break a connection that is established through another host.
     """
     for flow in list(tables.openings):
         remove_flow(tables, flow)
@@ -66,7 +66,7 @@
 
 
 def restart_suspicions(tables: Tables, now: float) -> None:
-    """Start over with hosts in doubt; their time passed while nobody listened."""
+    """Restart the time-outs of suspect hosts, which ran during the stall."""
     tables.membership.probes.clear()
     for row in tables.hosts.values():
         if row.suspect_until > 0.0:
@@ -74,7 +74,7 @@
 
 
 def run_fence(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Ask again, and lower the fence when there is nobody to ask."""
+    """Repeat the queries; lower the fence if nobody answers in time."""
     fence = tables.fence
     fence.last_tick_at = now
     if fence.until is None:
@@ -103,10 +103,10 @@
 
 
 def note_answered_revision(tables: Tables, sequence: int, revision: int) -> None:
-    """Take a peer's answer if it was asked since the jump.
+    """Record the revision in a peer's answer to a query sent since the jump.
 
-    An answer that waited in the socket through the freeze proves nothing, and
-    neither does one from a peer that is itself behind.
+    An answer that waited in the socket during the stall proves nothing, nor does one
+    from a peer that is itself behind.
     """
     fence = tables.fence
     if fence.until is None or sequence not in fence.sequences:
@@ -116,32 +116,32 @@
 
 
 def lower_fence_if_current(tables: Tables, actions: list[Action]) -> None:
-    """Lower the fence once the revision that was heard of is in force."""
+    """Lower the fence once the revision reported by peers is applied."""
     required = tables.fence.required
     if required is not None and tables.revision >= required:
         lower_fence(tables, "peer", actions)
 
 
 def note_platform_answer(tables: Tables, asked_at: float) -> None:
-    """Note that the platform answered a question asked since the jump.
+    """Record that the platform answered a read started since the jump.
 
-    An answer to an earlier one waited in the socket through the freeze. Reads may
-    be stale besides, so a peer's word is waited for some time first.
+    An answer to an earlier read waited in the socket during the stall. Platform reads
+    may also be stale, so the fence first waits some time for the answer of a peer.
     """
     until = tables.fence.until
     if until is not None and asked_at >= until - FENCE_TIMEOUT:
         tables.fence.platform_answered = True
 
 
-def lower_fence(tables: Tables, heard: str, actions: list[Action]) -> None:
-    """Forward again."""
-    actions.append(Log(FENCE_LOWERED.number, {"heard": heard}))
+def lower_fence(tables: Tables, source: str, actions: list[Action]) -> None:
+    """Lower the fence, so that packets are forwarded again."""
+    actions.append(Log(FENCE_LOWERED.number, {"heard": source}))
     tables.fence.until = None
     tables.fence.required = None
     tables.fence.sequences.clear()
 
 
 def drop_fenced(tables: Tables, actions: list[Action]) -> None:
-    """Drop a packet that arrives while the fence is up; count it."""
+    """Drop and count a packet that arrives while the fence is up."""
     actions.append(Drop(DropReason.FENCED))
     tables.counters["fence.dropped"] += 1
--- a/citronspring/systems/membership.py
+++ b/citronspring/systems/membership.py
@@ -1,4 +1,4 @@
-"""Membership: pinging other hosts, suspecting, joining; each host at equal cost."""
+"""Membership: SWIM-style failure detection and joining, at equal cost per host."""
 
 from __future__ import annotations
 
@@ -34,45 +34,46 @@
     from citronspring.messages import Action, HostListRead
     from citronspring.tables import HostRow, Tables
 
-#: Seconds between two pings to hosts in turn.
+#: Seconds between two pings; each goes to the next host in turn.
 PROTOCOL_PERIOD = 0.5
 
-#: Seconds between two tries to reach a host that does not answer.
+#: Seconds between two attempts to reach a host that does not answer.
 RETRY_INTERVAL = 0.2
 
-#: Seconds between two tries to have a suspect refute.
+#: Seconds between two pings to a suspect host, to let it refute.
 SUSPECT_INTERVAL = 0.5
 
 #: Seconds without any answer after which a host is suspected.
 PROBE_TIMEOUT = 0.65
 
-#: Hosts asked to ping one that does not answer.
+#: Hosts that are asked to ping a host that does not answer.
 INDIRECT_PROBES = 3
 
-#: Members in one message.
+#: Members per message.
 MEMBERS_PER_PART = 10
 
-#: Times that a starting host copies the list while each copy brings members.
+#: Maximum number of copies of the member list by a starting host; it copies the list
+#: again only while the last copy brought new members.
 MAX_LIST_COPIES = 3
 
-#: Seconds after which it copies it for the last time.
+#: Seconds until the final copy of the list.
 FINAL_COPY_DELAY = 2.0
 
-#: Seconds a peer has to send its list of members.
+#: Seconds a peer has to send its member list.
 JOIN_RETRY = 0.5
 
-#: Seconds after which a dead host that the platform does not list is forgotten.
+#: Seconds after which a dead host that the platform does not list is removed.
 UNLISTED_HOST_RETENTION = 60.0
 
-#: Indirect pings under way for others; more are not taken on.
-MAX_FORWARDS = 256
+#: Maximum number of pending indirect pings for other hosts; more are ignored.
+MAX_INDIRECT_PINGS = 256
 
 
-# On time -----------------------------------------------------------------------
+# Timers ------------------------------------------------------------------------
 
 
 def run_membership(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Ping, suspect and gossip what is due."""
+    """Run pings, suspicions and gossip that are due."""
     membership = tables.membership
     if membership.started_at is None:
         membership.started_at = now
@@ -83,15 +84,15 @@
     if now >= membership.next_gossip_at:
         membership.next_gossip_at = now + GOSSIP_INTERVAL
         expire_hosts(tables, now)
-        expire_forwards(tables, now)
+        expire_indirect_pings(tables, now)
         gossip(tables, actions)
 
 
 def start_period(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Ping the next host in turn, and one that is held dead."""
+    """Ping the next host in turn, and one dead host."""
     membership = tables.membership
     if membership.next_period_at == 0.0:
-        # Hosts started together must not ping in step.
+        # Hosts started together must not ping in lockstep.
         membership.next_period_at = now + membership.rng.random() * PROTOCOL_PERIOD
         return
     membership.next_period_at = now + PROTOCOL_PERIOD
@@ -119,10 +120,10 @@
 
 
 def ping_dead(tables: Tables, actions: list[Action]) -> None:
-    """Ping one host that is held dead.
+    """Ping one host that was declared dead.
 
-    After a partition each side holds the other dead and would never ask again;
-    a host that answers learns what is said of it, and refutes.
+    After a partition each side has declared the other dead and would never ping it
+    again. A host that answers learns of the update about it and refutes it.
     """
     dead = [key for key, row in tables.hosts.items() if row.state is HostState.DEAD]
     for host_id in sample(tables.membership.rng, dead, 1):
@@ -131,7 +132,7 @@
 
 
 def sample_member(tables: Tables) -> tuple[HostUpdate, ...]:
-    """Return one random member, so that all lists grow alike in the end."""
+    """Return one random member, so that all member lists converge."""
     chosen = sample(tables.membership.rng, list(tables.hosts.values()), 1)
     return tuple(update_of(row, with_host=True) for row in chosen)
 
@@ -143,7 +144,7 @@
     actions: list[Action],
     members: tuple[HostUpdate, ...] = (),
 ) -> None:
-    """Ping a host; tell it what is said of it, and who is asking."""
+    """Ping a host; include its state as known here and this host's own addresses."""
     row = tables.hosts[host_id]
     first = [] if row.state is HostState.ALIVE else [update_of(row)]
     if host_id not in tables.membership.acknowledged:
@@ -155,7 +156,7 @@
 
 
 def retry_probes(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Ask again, directly and through others, and suspect who stays silent."""
+    """Retry unanswered pings, directly and indirectly; suspect hosts that time out."""
     probes = tables.membership.probes
     for sequence, probe in list(probes.items()):
         row = tables.hosts.get(probe.host_id)
@@ -171,7 +172,7 @@
 def retry_probe(
     tables: Tables, sequence: int, probe: ProbeRow, now: float, actions: list[Action]
 ) -> None:
-    """Ping a silent host again; until it is suspected, through others as well."""
+    """Ping an unresponsive host again, before its suspicion also indirectly."""
     membership = tables.membership
     suspected = now >= probe.deadline
     probe.next_at = now + (SUSPECT_INTERVAL if suspected else RETRY_INTERVAL)
@@ -187,7 +188,7 @@
 
 
 def suspect(tables: Tables, row: HostRow, now: float) -> None:
-    """Give a silent host a last deadline; a leaving one stays leaving."""
+    """Mark an unresponsive host as suspect; a leaving host only gets a deadline."""
     if row.state is HostState.LEAVING:
         row.suspect_until = now + suspicion_timeout(tables)
         return
@@ -196,7 +197,7 @@
 
 
 def expire_hosts(tables: Tables, now: float) -> None:
-    """Hold dead who did not refute in time, and forget who is long dead."""
+    """Declare suspects dead that did not refute; remove hosts that died long ago."""
     for host_id, row in list(tables.hosts.items()):
         if host_id == tables.host_id:
             continue
@@ -208,23 +209,23 @@
             queue_update(tables, update_of(row))
 
 
-def expire_forwards(tables: Tables, now: float) -> None:
-    """Give up pings made for others."""
-    forwards = tables.membership.indirect_pings
-    for sequence in [key for key, row in forwards.items() if row.deadline <= now]:
-        del forwards[sequence]
+def expire_indirect_pings(tables: Tables, now: float) -> None:
+    """Drop expired pings made for other hosts."""
+    pings = tables.membership.indirect_pings
+    for sequence in [key for key, row in pings.items() if row.deadline <= now]:
+        del pings[sequence]
 
 
-# On messages -------------------------------------------------------------------
+# Messages ----------------------------------------------------------------------
 
 
 def receive_ping(
     tables: Tables, sender: str, message: Ping, actions: list[Action]
 ) -> None:
-    """Answer, and tell the sender what is said of it."""
+    """Answer a ping; include the sender's state if it is not alive here."""
     row = tables.hosts[sender]
-    rumour = () if row.state is HostState.ALIVE else (update_of(row),)
-    updates = next_updates(tables, *rumour, weight=ANSWER_WEIGHT)
+    sender_state = () if row.state is HostState.ALIVE else (update_of(row),)
+    updates = next_updates(tables, *sender_state, weight=ANSWER_WEIGHT)
     ack = Ack(message.sequence, tables.revision, updates)
     actions.append(SendControl(sender, ack))
 
@@ -232,24 +233,24 @@
 def receive_ack(
     tables: Tables, sender: str, message: Ack, actions: list[Action]
 ) -> None:
-    """Note that a host answered, or pass its answer on."""
+    """Record that a host answered, or forward its answer."""
     membership = tables.membership
     probe = membership.probes.get(message.sequence)
     if probe is not None:
         end_probe(tables, message.sequence, probe)
     if probe is None or probe.host_id == sender:
         membership.acknowledged.add(sender)
-    forward = membership.indirect_pings.pop(message.sequence, None)
-    if forward is not None:
-        ack = Ack(forward.sequence, tables.revision)
-        actions.append(SendControl(forward.requester, ack))
+    ping = membership.indirect_pings.pop(message.sequence, None)
+    if ping is not None:
+        ack = Ack(ping.sequence, tables.revision)
+        actions.append(SendControl(ping.requester, ack))
 
 
 def end_probe(tables: Tables, sequence: int, probe: ProbeRow) -> None:
-    """Stop asking a host that answered.
+    """Stop pinging a host that answered.
 
-    A suspect that has not refuted yet is asked on: its answer may be to a ping
-    that did not tell it of the suspicion, and only it can lift that everywhere.
+    A suspect that has not refuted yet is still pinged: its answer may be to a ping that
+    did not include the suspicion, and only the suspect itself can lift it on all hosts.
     """
     row = tables.hosts.get(probe.host_id)
     if row is None or row.state is not HostState.SUSPECT:
@@ -261,11 +262,11 @@
 def receive_ping_request(
     tables: Tables, sender: str, message: PingRequest, now: float, actions: list[Action]
 ) -> None:
-    """Ping a host for another."""
+    """Ping a host on behalf of another."""
     membership = tables.membership
     if (
         message.host_id not in tables.hosts
-        or len(membership.indirect_pings) >= MAX_FORWARDS
+        or len(membership.indirect_pings) >= MAX_INDIRECT_PINGS
     ):
         return
     sequence = membership.next_sequence()
@@ -280,7 +281,7 @@
 
 
 def copy_members(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Ask for the next part of the member list until all are here."""
+    """Request the next part of the member list until it is complete."""
     join = tables.membership.join
     if join is None or now < join.retry_at:
         return
@@ -304,8 +305,8 @@
 
 
 def receive_members(tables: Tables, message: Members, now: float) -> None:
-    """Add members that are new here, and go on to the next part, or end."""
-    found = apply_updates(tables, message.updates, now, news=False)
+    """Add new members and request the next part, or end the copy."""
+    found = apply_updates(tables, message.updates, now, forward_updates=False)
     join = tables.membership.join
     if join is None or join.part != message.part:
         return
@@ -317,11 +318,12 @@
 
 
 def end_copy(tables: Tables, join: JoinRow, now: float) -> None:
-    """End, or copy again: a peer that starts as well may know as little.
+    """End the copy of the member list, or repeat it.
 
-    In the end the host tells of itself: those who copied it from others' lists
-    pass no news of it on. A last copy, a little later, brings hosts that started
-    at the same time.
+    It is repeated because a peer that is also starting may know few members. At the end
+    the host sends an update about itself, as hosts that copied it from a list do not
+    forward updates about it. A final copy, a little later, brings hosts that started at
+    the same time.
     """
     if join.last:
         tables.membership.join = None
@@ -334,10 +336,10 @@
 
 
 def apply_host_list(tables: Tables, event: HostListRead, now: float) -> None:
-    """Use the platform's lagging list as a hint; it kills nobody.
+    """Use the platform's list, which may be outdated, as a hint only.
 
-    A host that it no longer lists may still serve, and one that it lists may be
-    gone: only pings decide. It shortens how long the dead are remembered.
+    A host that is not listed may still serve, and a listed one may be gone: only pings
+    decide. The list only shortens how long dead hosts are kept.
     """
     for host_id, row in tables.hosts.items():
         listed = host_id in event.live or host_id in event.leaving
--- a/citronspring/systems/replication.py
+++ b/citronspring/systems/replication.py
@@ -1,7 +1,7 @@
-"""Spread: how change records reach every host, whatever is lost or reordered.
+"""Replication of change records to every host, despite loss and reordering.
 
-New records are pushed to random hosts; every ping carries the revision, so that a
-host that missed one asks for it. Nothing is applied out of order.
+New records are pushed to random hosts. Every ping carries the revision, so that a host
+that missed a record requests it. Records are applied strictly in order.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
 
 Row = TypeVar("Row")
 
-#: Applied records that are kept to fill other hosts' gaps.
+#: Applied records that are kept to fill gaps of other hosts.
 MAX_RECENT_RECORDS = 256
 
-#: Records and pieces that may wait for an earlier record.
+#: Maximum number of records, and of pieces, that wait for an earlier record.
 MAX_OUT_OF_ORDER_RECORDS = 256
 
-#: Messages a new record goes out with from each host.
+#: Messages with which each host pushes a new record.
 MAX_PUSHES = 4
 
-#: Seconds between two rounds of pushes, and hosts a record goes to in one.
+#: Seconds between two rounds of pushes, and hosts a record is sent to in each.
 PUSH_INTERVAL = 0.2
 PUSH_FANOUT = 2
 
@@ -51,24 +51,25 @@
 #: Records in one answer to a request.
 RECORDS_PER_ANSWER = 8
 
-#: Hosts of a zone that read the platform. One would do; two let one die unnoticed.
+#: Hosts of a zone that read the platform. One would be enough; with two, the death of
+#: one has no effect.
 READERS_PER_ZONE = 2
 
 #: Seconds between two choices of readers.
 CHOOSE_INTERVAL = 1.0
 
-#: Seconds between two reads of the platform by a reader, beside its watch.
+#: Seconds between two reads of the platform by a reader, in addition to its watch.
 READ_INTERVAL = 10.0
 
-#: Seconds without a word from any peer after which a host reads for itself.
+#: Seconds without a message from any peer after which a host reads the platform itself.
 ISOLATION_TIMEOUT = 1.5
 
 
-# On time -----------------------------------------------------------------------
+# Timers ------------------------------------------------------------------------
 
 
 def run_replication(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Push what is new, choose readers and have them read."""
+    """Push new records, choose readers and request reads."""
     replication = tables.replication
     if now >= replication.next_push_at:
         replication.next_push_at = now + PUSH_INTERVAL
@@ -84,20 +85,20 @@
 
 
 def has_member_list(tables: Tables, now: float) -> bool:
-    """Whether the member list is here, or nobody seems to have one.
+    """Whether the member list is complete, or no peer seems to have one.
 
-    A host that knows only its seeds would take itself for a reader: a fleet that
-    starts at once would then call the platform from every host.
+    A host that knows only its seeds would consider itself a reader: in a fleet that
+    starts at once, every host would then call the platform.
     """
     join = tables.membership.join
     return join is None or join.last or is_isolated(tables, now)
 
 
 def choose_readers(tables: Tables, now: float) -> None:
-    """Find out whether this host reads the platform for its zone.
+    """Determine whether this host reads the platform for its zone.
 
-    Nothing correct rests on it: two views may choose more readers or none for a
-    while, which costs a few reads or a few seconds.
+    Correctness does not depend on it: with different membership views there may be more
+    readers or none for a while, which costs a few reads or a few seconds.
     """
     candidates = [
         host_id
@@ -157,13 +158,13 @@
     ]
 
 
-# On messages -------------------------------------------------------------------
+# Messages ----------------------------------------------------------------------
 
 
 def note_peer_revision(
     tables: Tables, sender: str, revision: int, now: float, actions: list[Action]
 ) -> None:
-    """Note a peer's revision, and ask for what is missing here."""
+    """Record a peer's revision and request the records missing here."""
     row = tables.hosts[sender]
     row.revision = max(row.revision, revision)
     if revision > tables.revision:
@@ -173,7 +174,7 @@
 def ask_for_records(
     tables: Tables, peer: str, now: float, actions: list[Action]
 ) -> None:
-    """Ask a peer for the records that follow, unless another was asked just now."""
+    """Request the records that follow, unless a request was sent just before."""
     replication = tables.replication
     if now < replication.request_at or replication.bulk is not None:
         return
@@ -188,7 +189,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Send the records that follow; a whole copy where they are no longer kept."""
+    """Send the records that follow, or a snapshot if they are no longer kept."""
     recent = tables.replication.recent
     first = message.after_revision + 1
     if first > tables.revision:
@@ -204,7 +205,7 @@
 def receive_records(
     tables: Tables, sender: str, message: Records, now: float, actions: list[Action]
 ) -> None:
-    """Take records, or one piece of a large one."""
+    """Accept records, or one piece of a large record."""
     records = collect_piece(tables, message) if message.parts > 1 else message.records
     if records:
         last = max(record.revision for record in records)
@@ -216,7 +217,7 @@
 
 
 def collect_piece(tables: Tables, message: Records) -> tuple[ChangeRecord, ...]:
-    """Keep one piece; return the record once all are here."""
+    """Store one piece of a record; return the record once it is complete."""
     record = message.records[0]
     pieces = tables.replication.pieces
     if record.revision <= tables.revision or record.account is None:
@@ -229,10 +230,10 @@
         return ()
     del pieces[record.revision]
     accounts = [received[part].records[0].account for part in sorted(received)]
-    [whole] = join_account_pieces(
+    [joined] = join_account_pieces(
         [account for account in accounts if account is not None]
     )
-    return (replace(record, account=whole),)
+    return (replace(record, account=joined),)
 
 
 # Applying ----------------------------------------------------------------------
@@ -241,7 +242,7 @@
 def accept_records(
     tables: Tables, records: tuple[ChangeRecord, ...], now: float
 ) -> None:
-    """Apply records in order; what comes too early waits for the gap to fill."""
+    """Apply records in order; those after a gap wait until it is filled."""
     replication = tables.replication
     for record in records:
         if record.revision > tables.revision:
@@ -255,7 +256,7 @@
 
 
 def keep_record(tables: Tables, record: ChangeRecord) -> None:
-    """Keep an applied record for others, and push it on."""
+    """Keep an applied record for other hosts and queue it for pushing."""
     replication = tables.replication
     replication.recent[record.revision] = record
     replication.recent.pop(record.revision - MAX_RECENT_RECORDS, None)
@@ -265,12 +266,12 @@
 
 
 def accept_snapshot(tables: Tables, snapshot: Snapshot, now: float) -> None:
-    """Take a whole configuration, then the records that waited for it."""
+    """Apply a snapshot, then the records that waited for it."""
     if not apply_snapshot(tables, snapshot, now):
         return
     replication = tables.replication
-    # Records before the copy are not known here: a range with a gap would make
-    # a peer skip what is missing.
+    # The records before the snapshot are not known here. With a gap in the kept
+    # records, a peer would skip the missing ones.
     replication.recent.clear()
     replication.pushes.clear()
     drop_old(replication.out_of_order, tables.revision)
@@ -279,6 +280,6 @@
 
 
 def drop_old(waiting: dict[int, Row], revision: int) -> None:
-    """Drop what waits for a revision that is in force."""
+    """Drop entries up to a revision that is already applied."""
     for key in [key for key in waiting if key <= revision]:
         del waiting[key]
--- a/citronspring/systems/snapshot_transfer.py
+++ b/citronspring/systems/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Bulk copy: a whole configuration from a peer, for a host that has none."""
+"""Snapshot transfer: a host without configuration copies it from a peer."""
 
 from __future__ import annotations
 
@@ -15,37 +15,38 @@
     from citronspring.messages import Action
     from citronspring.tables import Tables
 
-#: Targets and service addresses in one piece of an account. A piece of ordinary
-#: names stays below the datagram that fits every path.
+#: Maximum numbers of targets and service addresses in one piece of an account. With
+#: names of ordinary length a piece is smaller than the datagram that fits every path.
 TARGETS_PER_PIECE = 18
 ADDRESSES_PER_PIECE = 16
 
-#: Weight of one part of a copy; an account weighs one more than its targets.
+#: Maximum weight of one part; an account weighs one more than its number of targets.
 PART_WEIGHT = 20
 
-#: Parts asked for at once, and seconds until one is asked for again.
+#: Parts requested at once, and seconds until one is requested again.
 PARTS_IN_FLIGHT = 4
 PART_RETRY = 0.3
 
-#: Seconds in which a peer must send so many of the missing parts, or another is
-#: asked. Hosts that start together know the same few peers at first; without it
-#: they would all wait for these.
+#: Seconds between two checks of a peer's progress, and parts it must send in between;
+#: otherwise another peer is asked. Hosts that start together know the same few peers at
+#: first and would all wait for these.
 PROGRESS_INTERVAL = 1.0
 MIN_PARTS_PER_INTERVAL = 30
 
-#: Seconds an offered copy is kept after the last question for it.
+#: Seconds for which an offered snapshot is kept after the last request for it.
 OFFER_LIFETIME = 30.0
 
-#: Copies offered at once.
+#: Maximum number of snapshots offered at once.
 MAX_OFFERS = 2
 
-#: Parts a second that one host sends, over all who ask, and its burst in seconds.
+#: Rate of parts per second that one host sends to all peers together, and its burst in
+#: seconds.
 PARTS_PER_SECOND = 40.0
 PARTS_BURST = 0.5
 
 
 def split_account(account: Account) -> list[Account]:
-    """Cut an account into pieces that each fit a datagram."""
+    """Split an account into pieces that each fit a datagram."""
     targets, addresses = account.targets, account.addresses
     count = max(
         1,
@@ -63,46 +64,47 @@
 
 
 def join_account_pieces(pieces: list[Account]) -> tuple[Account, ...]:
-    """Put accounts together from pieces in order."""
-    whole: dict[str, Account] = {}
+    """Join accounts from their pieces, given in order."""
+    joined: dict[str, Account] = {}
     for piece in pieces:
-        start = whole.get(piece.account_id)
+        start = joined.get(piece.account_id)
         if start is None:
-            whole[piece.account_id] = piece
+            joined[piece.account_id] = piece
             continue
-        whole[piece.account_id] = replace(
+        joined[piece.account_id] = replace(
             start,
             targets=start.targets + piece.targets,
             addresses=start.addresses + piece.addresses,
         )
-    return tuple(whole.values())
+    return tuple(joined.values())
 
 
-# Giving ------------------------------------------------------------------------
+# Sending -----------------------------------------------------------------------
 
 
 def cut_into_parts(accounts: list[Account]) -> list[tuple[Account, ...]]:
-    """Return the parts of a copy; equal accounts give equal parts on every host."""
+    """Return the parts of a snapshot; equal accounts give equal parts on every host."""
     parts: list[tuple[Account, ...]] = []
     current: list[Account] = []
     weight = 0
     for account in sorted(accounts, key=lambda item: item.account_id):
         for piece in split_account(account):
-            more = 1 + len(piece.targets)
-            if current and weight + more > PART_WEIGHT:
+            piece_weight = 1 + len(piece.targets)
+            if current and weight + piece_weight > PART_WEIGHT:
                 parts.append(tuple(current))
                 current, weight = [], 0
             current.append(piece)
-            weight += more
+            weight += piece_weight
     parts.append(tuple(current))
     return parts
 
 
 def get_offer(tables: Tables, revision: int, now: float) -> OfferRow:
-    """Return the copy at a revision, or one at this host's own.
+    """Return the offered snapshot at a revision, or at this host's revision.
 
-    A copy takes longer than the time between two changes, so it is kept at the
-    revision at which it was begun; the records after it follow by themselves.
+    A transfer takes longer than the time between two changes, so the snapshot is kept
+    at the revision at which the transfer began. Later records are replicated
+    separately.
     """
     offers = tables.replication.offers
     offer = offers.get(revision) or offers.get(tables.revision)
@@ -123,7 +125,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Send the parts that are asked for; the first of another copy if need be."""
+    """Send the requested parts, or the first part of another snapshot."""
     if tables.revision == 0:
         return
     offer = get_offer(tables, request.revision, now)
@@ -138,7 +140,7 @@
 
 
 def admit_part(tables: Tables, now: float) -> bool:
-    """Pace the parts over all who ask; return whether one may go."""
+    """Limit the rate of parts over all peers; return whether one may be sent."""
     replication = tables.replication
     if replication.bulk_budget_used_until - now > PARTS_BURST:
         return False
@@ -149,24 +151,24 @@
 
 
 def expire_offers(tables: Tables, now: float) -> None:
-    """Forget copies nobody asks for any more."""
+    """Drop offered snapshots that are no longer requested."""
     offers = tables.replication.offers
     for revision in [key for key, row in offers.items() if row.deadline <= now]:
         del offers[revision]
 
 
-# Taking ------------------------------------------------------------------------
+# Receiving ---------------------------------------------------------------------
 
 
 def begin_transfer(tables: Tables, peer: str, now: float) -> None:
-    """Start to copy from a peer."""
+    """Start a transfer from a peer."""
     tables.replication.bulk = BulkRow(peer, now + PROGRESS_INTERVAL)
 
 
 def receive_snapshot_part(
     tables: Tables, sender: str, message: SnapshotPart, now: float
 ) -> Snapshot | None:
-    """Keep a part; return the whole configuration once all are here."""
+    """Store a part; return the whole configuration once it is complete."""
     if message.revision <= tables.revision:
         return None
     replication = tables.replication
@@ -187,7 +189,7 @@
 
 
 def restart_transfer(bulk: BulkRow, sender: str, message: SnapshotPart) -> None:
-    """Begin again with a newer configuration; parts of two must never mix."""
+    """Restart with a newer snapshot, as parts of two snapshots must never be mixed."""
     bulk.peer = sender
     bulk.parts_at_last_check = 0
     bulk.revision = message.revision
@@ -197,7 +199,7 @@
 
 
 def run_transfer(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Ask for missing parts, and another peer when this one fell silent."""
+    """Request missing parts; switch to another peer if this one is too slow."""
     expire_offers(tables, now)
     bulk = tables.replication.bulk
     if bulk is None:
@@ -215,7 +217,7 @@
 
 
 def consecutive_runs(parts: list[int]) -> list[tuple[int, int]]:
-    """Return ascending numbers as runs: the first, and how many follow it."""
+    """Return ascending numbers as runs of consecutive ones: first number and length."""
     runs: list[tuple[int, int]] = []
     for part in parts:
         if runs and sum(runs[-1]) == part:
@@ -226,18 +228,18 @@
 
 
 def missing_parts(bulk: BulkRow, now: float) -> list[int]:
-    """Return the parts to ask for now, as many as may be under way."""
+    """Return the parts to request now, within the limit of parts in flight."""
     wanted = [part for part in range(bulk.parts or 1) if part not in bulk.received]
-    under_way = wanted[:PARTS_IN_FLIGHT]
-    return [part for part in under_way if bulk.part_retry_at.get(part, 0.0) <= now]
+    in_flight = wanted[:PARTS_IN_FLIGHT]
+    return [part for part in in_flight if bulk.part_retry_at.get(part, 0.0) <= now]
 
 
 def check_peer_progress(tables: Tables, bulk: BulkRow, now: float) -> None:
-    """Turn to another peer if this one is slow or silent."""
+    """Switch to another peer if this one is too slow or unresponsive."""
     bulk.retry_at = now + PROGRESS_INTERVAL
-    arrived = len(bulk.received) - bulk.parts_at_last_check
+    new_parts = len(bulk.received) - bulk.parts_at_last_check
     bulk.parts_at_last_check = len(bulk.received)
-    if arrived >= MIN_PARTS_PER_INTERVAL:
+    if new_parts >= MIN_PARTS_PER_INTERVAL:
         return
     bulk.part_retry_at.clear()
     for peer in sample(tables.membership.rng, present_hosts(tables), 1):
--- a/tests/test_systems/cluster.py
+++ b/tests/test_systems/cluster.py
@@ -1,4 +1,4 @@
-"""A few cores on the in-memory network, with a platform that can be taken away."""
+"""Several cores on an in-memory network, with a platform that may be unavailable."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from citronspring.standins.network import LinkQuality, Network
 from tests.conftest import ZONES, make_account, make_host
 
-#: Seconds in which a fleet that starts together knows itself.
+#: Seconds after which hosts that start together know each other.
 SETTLE = 6.0
 
 
 @dataclass
 class Cluster:
-    """Hosts, and the configuration the platform holds."""
+    """Hosts, and the configuration held by the platform."""
 
     network: Network
     hosts: list
     records: list = field(default_factory=list)
     platform_up: bool = True
-    #: How many records the platform's reads lag behind.
+    #: Number of records by which the platform's reads lag behind.
     stale: int = 0
     revisions: dict = field(default_factory=dict)
     reads: list = field(default_factory=list)
@@ -52,7 +52,7 @@
         return core
 
     def commit(self, targets=7):
-        """Commit a change of the one account, as the platform would hold it."""
+        """Commit a change of the single account, as the platform would hold it."""
         revision = len(self.records) + 1
         account = make_account(targets=targets)
         account = replace(account, zones=(*ZONES, f"at-{revision}"))
@@ -76,7 +76,7 @@
         self.network.after(0.01, lambda: self.network.give(host_id, event))
 
     def read_now(self, host_id):
-        """Have one host read the platform, as its watch would."""
+        """Let one host read the platform, as its watch would."""
         revision = self.core(host_id).tables.revision
         self.perform(host_id, ReadPlatform(revision))
 
@@ -102,7 +102,7 @@
         return self.network.now - start
 
     def states_of(self, host_id):
-        """Return what the other hosts hold of one."""
+        """Return the states of a host in the views of the other hosts."""
         return {
             row.state if (row := core.tables.hosts.get(host_id)) else None
             for name, core in self.network.hosts.items()
@@ -119,7 +119,7 @@
         )
 
     def agreed(self):
-        """Whether every host has the newest revision, and the same account."""
+        """Whether every host has the newest revision and the same account."""
         newest = self.records[-1]
         return all(
             core.tables.revision == newest.revision
@@ -132,7 +132,7 @@
 
 
 def settled(**options):
-    """Return a cluster that knows itself and the configuration."""
+    """Return a cluster whose hosts know each other and the configuration."""
     cluster = Cluster.of(**options)
     cluster.run(SETTLE)
     assert cluster.all_alive()
--- a/tests/test_systems/test_fence.py
+++ b/tests/test_systems/test_fence.py
@@ -1,4 +1,4 @@
-"""Fence: a host that stood still forwards nothing until it knows it is current."""
+"""Fence: a host that was stalled forwards nothing until it is current again."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from tests.test_systems.cluster import settled
 
 
-def test_frozen_host_drops_what_waited_until_it_is_current():
-    """A host is frozen through a change and wakes with packets in its sockets.
+def test_stalled_host_drops_waiting_packets_until_it_is_current():
+    """A host is stalled during a change and resumes with packets in its sockets.
 
-    Forwarded by its old configuration they could reach an address that belongs
-    to another client account by now. It notices that its clock jumped, drops
-    packets, asks its peers for their revision and takes the change first.
+    By its old configuration they could reach an address that belongs to another client
+    account by now. The host detects the clock jump, drops packets, asks its peers for
+    their revision and applies the change first.
     """
     cluster = settled()
     core = cluster.core("host-5")
@@ -49,11 +49,11 @@
     return isinstance(action, Drop) and action.reason is DropReason.FENCED
 
 
-def test_frozen_host_that_reaches_nobody_serves_again_by_a_deadline(snapshot):
-    """A host wakes cut off from its peers and the platform.
+def test_stalled_host_that_reaches_nobody_serves_again_by_a_deadline(snapshot):
+    """A host resumes without a connection to its peers and the platform.
 
-    Waiting for an answer for ever would end its service. After a stored
-    deadline it serves what it can, as a cut-off zone does.
+    Waiting for an answer without limit would end its service. After a deadline it
+    serves what it can, as a partitioned zone does.
     """
     core = driver.make_core(snapshot)
     core.tick(0.0)
@@ -66,11 +66,11 @@
     assert driver.sent_to(core.receive(driver.syn(driver.flow_to()), 12.1))
 
 
-def test_woken_host_holds_nobody_dead_for_its_own_sleep(snapshot):
-    """A host suspects another, freezes, and wakes after the deadline.
+def test_resumed_host_restarts_suspicions_after_a_stall(snapshot):
+    """A host suspects another, stalls, and resumes after the deadline.
 
-    Nobody listened meanwhile, so the silence proves nothing. Held dead, the
-    other would lose its flows to this one.
+    It received nothing during the stall, so the missing answers prove nothing. If it
+    declared the other host dead, it would take over that host's flows.
     """
     core = driver.make_core(snapshot, hosts=2)
     core.tables.membership.join = None
@@ -81,10 +81,10 @@
     assert core.tables.hosts["host-1"].state is HostState.SUSPECT
 
 
-def test_fence_stays_until_the_missing_change_is_in_force(snapshot):
-    """A woken host hears from a peer that it misses a change.
+def test_fence_stays_until_the_missing_change_is_applied(snapshot):
+    """A resumed host hears from a peer that it misses a change.
 
-    To know that it is behind is not enough: packets that waited would still go
+    It is not enough to know of the change: packets that waited would still be forwarded
     by the old configuration.
     """
     core = driver.make_core(snapshot, hosts=2)
@@ -98,11 +98,11 @@
     assert core.tables.fence.until is None
 
 
-def test_answer_from_before_the_freeze_does_not_lower_the_fence(snapshot):
-    """An answer waited in the socket through the freeze.
+def test_answer_from_before_the_stall_does_not_lower_the_fence(snapshot):
+    """An answer waited in the socket during the stall.
 
-    It tells what the revision was long ago; believed, it would let the packets
-    that waited beside it through.
+    It gives the revision of a time before the stall. If it lowered the fence, the
+    packets that waited beside it would be forwarded.
     """
     core = driver.make_core(snapshot, hosts=2)
     core.tick(0.0)
@@ -117,9 +117,9 @@
 
 
 def test_platform_lowers_the_fence_only_when_no_peer_answers(snapshot):
-    """A woken host reads the platform, whose answer may be stale.
+    """A resumed host reads the platform, whose answer may be stale.
 
-    Its peers know better; only when none answers is the platform's word taken.
+    Its peers are more current; the platform's answer counts only when no peer answers.
     """
     core = driver.make_core(snapshot, hosts=2)
     core.tick(0.0)
--- a/tests/test_systems/test_membership.py
+++ b/tests/test_systems/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: who serves, as every host sees it, under failure."""
+"""Membership: which hosts serve, in the view of every host, under failure."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_killed_host_leaves_every_ring_within_four_seconds(seed):
-    """A host loses power; until others own its flows, callers get no answer.
+def test_killed_host_leaves_every_owner_table_within_four_seconds(seed):
+    """A host loses power; its callers get no answer until others own its flows.
 
-    Somebody pings it, asks again and through others, then suspects it; nobody
-    refutes, so that it is held dead by all. Until then it stays in the ring.
+    Another host pings it, retries, also through others, then suspects it. As nobody
+    refutes, all hosts declare it dead. Until then it stays in the owner table.
     """
     cluster = settled(seed=seed)
     cluster.network.kill_host("host-4")
@@ -42,17 +42,16 @@
         lambda: cluster.states_of("host-4") == {HostState.DEAD}, 5.0
     )
     assert took <= 4.0
-    rings = {core.tables.owners.members for core in cluster.network.hosts.values()}
-    assert all("host-4" not in ring for ring in rings)
+    views = {core.tables.owners.members for core in cluster.network.hosts.values()}
+    assert all("host-4" not in view for view in views)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_no_false_death_at_a_tenth_of_packets_lost(seed):
-    """One datagram in ten is lost; held dead for that, a host loses its flows.
+def test_no_host_is_declared_dead_with_a_tenth_of_packets_lost(seed):
+    """One datagram in ten is lost, and no host is declared dead because of it.
 
-    Second chance would have to find each of them. A host is asked several times
-    and through others; one that is suspected all the same hears of it and
-    refutes, since suspicion is told to it first.
+    Each of its flows would have to be searched for. A host is pinged several times,
+    also through others. If it is suspected nevertheless, it is told first and refutes.
     """
     cluster = settled(seed=seed, loss=0.1)
     cluster.run(60.0)
@@ -60,11 +59,11 @@
     assert cluster.all_alive()
 
 
-def test_hosts_cut_off_from_each_other_alone_stay_alive():
-    """Two zones can't reach each other, and both reach the third.
+def test_hosts_that_reach_each_other_only_indirectly_stay_alive():
+    """Two zones cannot reach each other, but both reach the third.
 
-    By their own pings each would hold the other dead, and the third would hear
-    it. Pings through others keep them alive for all.
+    By direct pings alone each would declare the other dead, and tell the third.
+    Indirect pings keep them alive for all.
     """
     cluster = settled()
     first, second, _ = (host.zone for host in cluster.hosts[:3])
@@ -74,11 +73,11 @@
     assert cluster.counted("membership.suspected") < 60
 
 
-def test_suspect_gets_longer_while_much_news_waits(snapshot):
-    """A third of a large fleet restarts and news queues up at every host.
+def test_suspect_gets_longer_while_many_updates_wait(snapshot):
+    """A third of a large fleet restarts and updates queue up at every host.
 
-    Refutations queue as well. By the usual deadline hosts that serve would be
-    held dead, which makes more news: the benchmark's storm never ended so.
+    Refutations are queued as well. With the usual time-out, hosts that serve would be
+    declared dead, which causes more updates: in the benchmark this never ended.
     """
     core = driver.make_core(snapshot, hosts=2)
     row = core.tables.hosts["host-1"]
@@ -93,8 +92,9 @@
 def test_third_of_the_fleet_restarts_and_all_agree_again():
     """Eight of 24 hosts are replaced within four seconds.
 
-    Rumours of their deaths travel beside news of their return. All must end up
-    with every host in the ring, and none of the others held dead meanwhile.
+    Updates about their deaths and about their return are forwarded at the same time. In
+    the end every host must be an owner, and no other host may be declared dead
+    meanwhile.
     """
     cluster = settled(count=24, loss=0.05)
     for step in range(140):
@@ -112,21 +112,22 @@
 
 
 def test_pings_go_first_when_the_budget_is_short():
-    """News of many hosts waits, and a ping is to be answered in time."""
+    """Updates about many hosts are queued while a ping must be answered in time."""
     assert priority_of(Ping(1, 1)) < priority_of(Gossip(1))
     assert priority_of(Ack(1, 1)) < priority_of(Gossip(1))
     assert priority_of(Records(())) < priority_of(Gossip(1))
 
 
 def test_suspected_host_refutes_under_a_new_incarnation():
-    """A rumour says that a serving host is suspect.
+    """An update declares a serving host suspect.
 
-    If it could not answer, any slip would end in its death. It hears the rumour
-    on a ping, raises its incarnation, and the rumour loses everywhere.
+    If the host could not refute, any false suspicion would end in its death. It
+    receives the update on a ping and raises its incarnation, which supersedes the
+    update everywhere.
     """
     cluster = settled()
-    rumour = HostUpdate("host-5", HostState.SUSPECT, 1)
-    event = ControlReceived("host-1", Ping(1, 1, (rumour,)))
+    update = HostUpdate("host-5", HostState.SUSPECT, 1)
+    event = ControlReceived("host-1", Ping(1, 1, (update,)))
     cluster.network.give("host-2", event)
     assert cluster.core("host-2").tables.hosts["host-5"].state is HostState.SUSPECT
     assert "host-5" in cluster.core("host-2").tables.owners.members
@@ -136,21 +137,21 @@
     assert cluster.counted("membership.died") == 0
 
 
-def test_whoever_talks_to_a_host_tells_what_is_said_of_it(snapshot):
-    """A host held dead for long comes back, with its clock behind.
+def test_pings_and_answers_include_the_state_of_their_receiver(snapshot):
+    """A host that was declared dead long ago comes back with its clock behind.
 
-    Rumours have died down by then. If pings and answers did not tell it, it
-    would never learn that it has to refute.
+    The update about its death is no longer forwarded. If pings and answers did not
+    include it, the host would never learn that it has to refute.
     """
     core = driver.make_core(snapshot, hosts=2)
     row = core.tables.hosts["host-1"]
     row.state, row.forget_at = HostState.DEAD, 900.0
-    rumour = HostUpdate("host-1", HostState.DEAD, 0)
+    update = HostUpdate("host-1", HostState.DEAD, 0)
     [ack] = core.receive(ControlReceived("host-1", Ping(1, 1)), 0.0)
-    assert rumour in ack.message.updates
+    assert update in ack.message.updates
     pings = pings_of(core, [0.0, 0.6, 1.2])
     assert pings
-    assert all(rumour in ping.updates for ping in pings)
+    assert all(update in ping.updates for ping in pings)
 
 
 def pings_of(core, times):
@@ -159,11 +160,11 @@
     return [message for message in sent if isinstance(message, Ping)]
 
 
-def test_suspect_is_asked_on_until_it_refutes(snapshot):
-    """An answer comes after the suspicion, to a ping from before it.
+def test_suspect_is_pinged_until_it_refutes(snapshot):
+    """An answer arrives after the suspicion, to a ping from before it.
 
-    The host does not know yet that it is suspected. Were it asked no more, it
-    would be held dead though it answers.
+    The host does not know yet that it is suspected. If it were not pinged any more, it
+    would be declared dead though it answers.
     """
     core = driver.make_core(snapshot, hosts=2)
     core.tables.membership.join = None
@@ -178,7 +179,7 @@
 
 
 def test_ping_introduces_its_sender_until_it_is_answered(snapshot):
-    """A host can answer only to sockets it knows; settings name a few hosts."""
+    """A host can answer only to known addresses; the settings name only a few hosts."""
     core = driver.make_core(snapshot, hosts=2)
     me = HostUpdate("host-0", HostState.ALIVE, 0, make_host(0))
     [first, *_] = pings_of(core, [0.0, 0.6])
@@ -188,10 +189,10 @@
     assert me not in second.updates
 
 
-def test_members_on_a_ping_are_learnt_and_are_no_news(snapshot):
-    """A host that missed the news of another learns it in the end.
+def test_members_on_a_ping_are_added_and_not_forwarded(snapshot):
+    """A host that missed the update about another learns of it eventually.
 
-    To tell of it again would make a fleet that restarts fill its budget.
+    If it forwarded the update again, a restarting fleet would use up its budget.
     """
     core = driver.make_core(snapshot, hosts=2)
     member = HostUpdate("host-7", HostState.ALIVE, 3, make_host(7))
@@ -200,27 +201,27 @@
     assert not core.tables.membership.updates
 
 
-def test_restarted_host_outranks_the_rumour_of_its_death():
-    """A host dies, is held dead, and starts again under the same name.
+def test_restarted_host_supersedes_the_update_of_its_death():
+    """A host dies, is declared dead, and starts again under the same name.
 
-    Rumours of its death still travel; if they counted it would never own a flow
-    again. Its boot time is its incarnation, and so outranks them.
+    Updates about its death are still forwarded; if they applied, it would never own a
+    flow again. Its incarnation is its boot time, and therefore supersedes them.
     """
     cluster = settled()
     cluster.network.kill_host("host-6")
     cluster.run_until(lambda: cluster.states_of("host-6") == {HostState.DEAD}, 5.0)
     cluster.start("host-6", 1000)
     assert cluster.run_until(cluster.all_alive, 4.0) <= 4.0
-    rumour = HostUpdate("host-6", HostState.DEAD, 1)
-    cluster.network.give("host-2", ControlReceived("host-1", Ping(1, 1, (rumour,))))
+    update = HostUpdate("host-6", HostState.DEAD, 1)
+    cluster.network.give("host-2", ControlReceived("host-1", Ping(1, 1, (update,))))
     assert cluster.core("host-2").tables.hosts["host-6"].state is HostState.ALIVE
 
 
-def test_host_restarted_with_its_clock_behind_still_gets_back_in():
-    """A host starts again and its clock is behind that of its last run.
+def test_host_restarted_with_its_clock_behind_rejoins():
+    """A host starts again with its clock behind that of its last run.
 
-    Its incarnation is then lower than what the others hold of it. Whoever it
-    pings tells it so, and it goes one higher.
+    Its incarnation is then lower than the one known to the others. The hosts it pings
+    tell it so, and it raises its incarnation above that.
     """
     cluster = settled()
     cluster.core("host-6").tables.me.incarnation = 5000
@@ -235,12 +236,12 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_healed_partition_agrees_within_four_seconds(seed):
-    """One zone is cut off from the others and from the platform, for a minute.
+    """One zone is partitioned from the others and from the platform for a minute.
 
-    Its hosts and the others hold each other dead and serve what they reach. A
-    change is committed meanwhile. Once the cut ends, the pings that still go to
-    the dead find them; each learns what is said of it and refutes, and the
-    revision on the pings brings the change across.
+    The two sides declare each other dead and serve what they reach. A change is
+    committed in the meantime. After the partition, the pings that are still sent to
+    dead hosts reach them. Each host learns of the update about it and refutes, and the
+    revision on the pings makes the zone request the change.
     """
     cluster = settled(seed=seed, loss=0.02)
     zone = cluster.hosts[0].zone
@@ -261,11 +262,11 @@
     assert cluster.run_until(agreed, 5.0) <= 4.0
 
 
-def test_leaving_is_announced_to_all_and_the_host_goes_on():
-    """An operator stops a host. Work given to it from now on would be cut.
+def test_leaving_is_announced_to_all_and_the_host_keeps_serving():
+    """An operator stops a host. Flows placed there from now on would break.
 
-    It says itself that it leaves, before anything else: nobody gives it new
-    flows, while its core goes on to answer and serve what it has.
+    The host announces that it leaves before anything else: it gets no new flows, while
+    its core continues to answer and to serve existing flows.
     """
     cluster = settled(loss=0.1)
     core = cluster.core("host-3")
@@ -282,11 +283,11 @@
     cluster.run_until(lambda: cluster.states_of("host-3") == {HostState.DEAD}, 6.0)
 
 
-def test_platform_list_kills_nobody_and_lets_the_dead_be_forgotten():
-    """The platform's list lags: it misses a live host and names a dead one.
+def test_platform_list_declares_nobody_dead_and_shortens_retention():
+    """The platform's list is outdated: it misses a live host and names a dead one.
 
-    Taken at its word it would take a serving host out of the ring. It decides
-    only how long a host that no longer answers is remembered.
+    If it decided, a serving host would lose its flows. It only determines how long a
+    host that no longer answers is kept.
     """
     cluster = settled()
     cluster.network.kill_host("host-8")
@@ -301,7 +302,7 @@
 
 
 def test_unknown_sender_changes_nothing(snapshot):
-    """A host nobody knows sends a ping without saying where it is."""
+    """An unknown host sends a ping without its addresses."""
     core = driver.make_core(snapshot, hosts=2)
     actions = core.receive(ControlReceived("host-7", Ping(1, 9)), 0.0)
     assert actions == []
@@ -312,11 +313,11 @@
     assert core.tables.hosts["host-7"].host == make_host(7)
 
 
-def test_platform_answer_asked_before_the_freeze_does_not_lower_the_fence(snapshot):
-    """A host sleeps while its read of the platform is under way, and wakes.
+def test_platform_read_from_before_the_stall_does_not_lower_the_fence(snapshot):
+    """A host stalls while it waits for a read of the platform, and resumes.
 
-    The answer waited with the packets and may be older than a change made since.
-    Only an answer to a question asked after the jump counts.
+    The answer waited with the packets and may be older than a change made since. Only
+    an answer to a read started after the jump counts.
     """
     core = driver.make_core(snapshot, hosts=2)
     core.tick(0.0)
@@ -327,11 +328,11 @@
     assert core.tables.fence.platform_answered
 
 
-def test_openings_from_before_the_freeze_are_forgotten(snapshot):
-    """A host sleeps while an opening it owns is under way, and wakes after 10 s.
+def test_openings_from_before_the_stall_are_dropped(snapshot):
+    """A host stalls while an opening that it owns is pending, and resumes after 10 s.
 
-    Another owner has opened the flow meanwhile, on the same target. Refusing the
-    caller and resetting the target for the deadline that passed would end it.
+    Another owner has opened the flow meanwhile, on the same target. Refusing the caller
+    and resetting the target because of the missed deadline would end that flow.
     """
     core = driver.make_core(snapshot, hosts=2)
     core.tick(0.0)
--- a/tests/test_systems/test_replication.py
+++ b/tests/test_systems/test_replication.py
@@ -1,4 +1,4 @@
-"""Spread: an accepted change is in force on every host and never reverts."""
+"""Replication: an accepted change reaches every host and never reverts."""
 
 from __future__ import annotations
 
@@ -50,13 +50,14 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_change_read_by_one_host_is_in_force_on_all_within_four_seconds(seed):
+def test_change_read_by_one_host_is_applied_on_all_within_four_seconds(seed):
     """An operator changes an account while datagrams are lost and reordered.
 
-    Any host that misses it serves by what was. Records are pushed to random
-    hosts; who misses one hears of the revision on a ping and asks for it.
+    A host that misses the change serves by the old configuration. Records are pushed to
+    random hosts; a host that misses one learns of the revision from a ping and requests
+    it.
     """
-    # So slow that hosts suspect each other, which must not keep changes back.
+    # So slow that hosts suspect each other, which must not delay changes.
     cluster = Cluster.of(seed=seed, loss=0.1, duplication=0.1, longest=0.4)
     cluster.run(SETTLE)
     assert cluster.agreed()
@@ -68,9 +69,9 @@
 
 
 def test_change_is_pushed_without_waiting_for_pings():
-    """Hundreds of hosts learn of a change only from those who have it.
+    """Hundreds of hosts learn of a change only from those that have it.
 
-    By pings alone each doubling of them would take half a second.
+    With pings alone each doubling of their number would take half a second.
     """
     cluster = settled(count=24)
     cluster.commit()
@@ -79,9 +80,9 @@
 
 
 def test_only_readers_call_the_platform():
-    """The platform's rates grow more slowly than the fleet.
+    """The platform's request rate grows more slowly than the fleet.
 
-    A host that joins or lags takes what it needs from a peer.
+    A host that joins or lags gets what it needs from a peer.
     """
     cluster = settled(count=18)
     cluster.run(30.0)
@@ -91,11 +92,11 @@
         assert sum(cluster.network.zones[name] == zone for name in late) == 2
 
 
-def test_new_host_copies_from_a_peer_while_the_platform_is_down():
-    """The platform is down for an hour and a host is replaced meanwhile.
+def test_new_host_gets_a_snapshot_from_a_peer_while_the_platform_is_unavailable():
+    """The platform is unavailable for an hour and a host is replaced meanwhile.
 
-    If only the platform had the configuration, the new host would serve nobody.
-    It copies the whole from a peer, part by part, and lost parts again.
+    If only the platform had the configuration, the new host could serve nobody. It
+    transfers a snapshot from a peer, part by part, and requests lost parts again.
     """
     cluster = settled(loss=0.1)
     cluster.commit(300)
@@ -108,11 +109,11 @@
     assert cluster.run_until(cluster.agreed, 6.0) <= 5.0
 
 
-def test_gap_older_than_what_peers_keep_is_filled_by_a_copy():
-    """A host was cut off for longer than records are kept.
+def test_gap_older_than_the_kept_records_is_filled_by_a_snapshot():
+    """A host was partitioned for longer than records are kept.
 
-    Its peer can't send what follows its revision; sending later records would
-    make it skip some. It gets the whole configuration instead.
+    Its peer cannot send the records that follow its revision; sending later ones would
+    make it skip some. It gets a snapshot instead.
     """
     cluster = settled(count=3)
     cluster.network.freeze("host-2")
@@ -129,11 +130,11 @@
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(st.integers(0, 10_000), st.booleans())
-def test_records_in_any_order_end_alike_and_never_fall(seed, cut):
+def test_records_in_any_order_give_the_same_state_and_never_go_back(seed, cut):
     """Records arrive in any order, twice, in pieces, some of them late.
 
-    Applied as they come, an older record would undo a newer one. Each waits
-    until the one before it is in force.
+    If they were applied in order of arrival, an older record would undo a newer one.
+    Each waits until the one before it is applied.
     """
     rng = random.Random(seed)
     records = make_records(8)
@@ -153,7 +154,7 @@
     assert core.tables.accounts["bundelpers"].account == records[-1].account
 
 
-def test_record_beyond_a_gap_waits_and_the_gap_is_asked_for():
+def test_record_after_a_gap_waits_and_the_gap_is_requested():
     records = make_records(4)
     core = make_core()
     assert RecordsRequest(1) in deliver(core, Records((records[3],)))
@@ -163,9 +164,9 @@
 
 
 def test_old_peer_and_stale_platform_revert_nothing():
-    """A peer that was frozen and a stale platform offer an old configuration.
+    """A peer that was stalled and a stale platform offer an old configuration.
 
-    Taken, an accepted change would revert at this host.
+    If it were applied, an accepted change would revert on this host.
     """
     records = make_records(5)
     core = make_core()
@@ -182,11 +183,11 @@
     assert not core.tables.replication.out_of_order
 
 
-def test_copy_never_mixes_two_revisions():
-    """Parts of two revisions arrive mixed: the peer moved on during the copy.
+def test_snapshot_transfer_never_mixes_two_revisions():
+    """Parts of two revisions arrive mixed: the peer moved on during the transfer.
 
-    Put together they would be a configuration that nobody accepted. The newer
-    one starts the copy over; parts of the older no longer count.
+    Joined, they would be a configuration that nobody accepted. A part of the newer one
+    restarts the transfer; parts of the older one no longer count.
     """
     accounts = [make_account(f"a{index}", 15, f"192.0.2.{index}") for index in range(4)]
     old = cut_into_parts(accounts)
@@ -205,7 +206,7 @@
     assert all(len(row.targets) == 14 for row in core.tables.accounts.values())
 
 
-def test_lost_part_of_a_copy_is_asked_for_again():
+def test_lost_snapshot_part_is_requested_again():
     accounts = [make_account(f"a{index}", 15, f"192.0.2.{index}") for index in range(3)]
     parts = cut_into_parts(accounts)
     core = make_core()
@@ -222,10 +223,10 @@
     return [item for item in messages if isinstance(item, SnapshotRequest)]
 
 
-def test_peers_revision_on_a_heartbeat_is_noted():
-    """A host that is behind must not pass a reset on as certain.
+def test_revision_on_a_ping_is_recorded():
+    """A host that is behind must not treat a reset as certain.
 
-    It can only know that it is behind from what its peers say.
+    It learns that it is behind only from its peers' messages.
     """
     core = make_core()
     deliver(core, Ack(1, 7))
