--- a/citronspring/systems/health.py
+++ b/citronspring/systems/health.py
@@ -188,8 +188,8 @@
 
 def next_probe(tables: Tables, row: TargetRow, now: float) -> float:
     """Return the next probe time; hashed, so that probes do not come in bursts."""
-    fraction = score(tables.host_id.encode(), row.seed) % 1000 / 1000
-    phase = fraction * PROBE_INTERVAL
+    spread = score(tables.host_id.encode(), row.seed) % 1000 / 1000
+    phase = spread * PROBE_INTERVAL
     periods = (now - phase) // PROBE_INTERVAL + 1
     return phase + periods * PROBE_INTERVAL
 
