--- a/citronspring/systems/openings.py
+++ b/citronspring/systems/openings.py
@@ -54,7 +54,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Place a flow whose SYN another host may have placed on the likely target."""
+    """Place a new flow, preferably on the target that may already have its SYN."""
     earlier = tables.flows.rows.get(packet.flow)
     if earlier is not None:
         close(tables, packet.flow, earlier, now)
