--- a/citronspring/bundles.py
+++ b/citronspring/bundles.py
@@ -1,8 +1,8 @@
-"""The modules that a starting host imports, compiled into one file.
+"""A single file with the compiled modules that a starting host imports.
 
-A host that was killed serves again only after its imports. Found and read one by one,
-fifty modules are five hundred system calls, and each data class compiles its
-``__init__`` when the first instance is made. Both are done when the host is built.
+A restarted host serves only after its imports. Finding and reading fifty modules one by
+one takes five hundred system calls, and each data class compiles its ``__init__`` when
+its first instance is created. The build of the host does both in advance.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 if TYPE_CHECKING:
     from types import CodeType, ModuleType
 
-#: Where the build puts it, from the root of the repository.
+#: Path of the bundle, relative to the root of the repository.
 BUNDLE_PATH = "target/host.bundle"
 
 
 class BundleFinder:
-    """Finds modules in a bundle.
+    """Import finder and loader for the modules of a bundle.
 
     Parameters
     ----------
     root : str
-        Folder of the package.
+        Directory that contains the package.
     modules : dict
-        Path below the root, time of change, size and code of each module.
+        Relative path, modification time, size and code of each module.
     """
 
     def __init__(self, root: str, modules: dict[str, tuple[str, int, int, CodeType]]):
@@ -38,15 +38,15 @@
     def find_spec(
         self, name: str, path: object = None, target: object = None
     ) -> ModuleSpec | None:
-        """Return how a module is loaded, None if it is not here or has changed."""
+        """Return the spec of a module, None if it is missing or has changed."""
         found = self.modules.get(name)
         if found is None:
             return None
-        relative_path, changed_at, size, _ = found
+        relative_path, mtime_ns, size, _ = found
         source = f"{self.root}/{relative_path}"
         state = stat(source)
-        if (state.st_mtime_ns, state.st_size) != (changed_at, size):
-            # Built from another state of the sources: they count.
+        if (state.st_mtime_ns, state.st_size) != (mtime_ns, size):
+            # The source was changed after the build and takes precedence.
             return None
         is_package = relative_path.endswith("/__init__.py")
         spec = ModuleSpec(name, self, origin=source, is_package=is_package)
@@ -56,10 +56,10 @@
         return spec
 
     def create_module(self, spec: ModuleSpec) -> None:
-        """Leave making the module to the interpreter."""
+        """Use the interpreter's default for creating the module."""
 
     def exec_module(self, module: ModuleType) -> None:
-        """Run a module's code."""
+        """Execute a module's code."""
         exec(self.modules[module.__name__][3], module.__dict__)
 
 
@@ -71,11 +71,11 @@
     Parameters
     ----------
     root : str
-        Folder of the package.
+        Directory that contains the package.
     modules : dict
         Code of each module by its name; its file name is the path of the source.
     init_sources : list of str
-        Sources of the methods that data classes compile.
+        Sources of the ``__init__`` methods that data classes compile.
     """
     rows = {}
     for name, code in modules.items():
@@ -87,17 +87,17 @@
 
 
 def install_bundle(root: str) -> bool:
-    """Have imports look into the bundle first; return whether there is one to use."""
+    """Make imports use the bundle; return whether there is a usable one."""
     try:
         with open(f"{root}/{BUNDLE_PATH}", "rb") as file:
             version, rows, compiled = loads(file.read())
     except (OSError, EOFError, ValueError, TypeError):
-        # Without a build, or with one that was cut off, modules are read one by one.
+        # Without a bundle, or with a truncated one, modules are imported one by one.
         return False
     if version != sys.version:
         return False
     sys.meta_path.insert(0, BundleFinder(root, rows))
-    # Imported only now, so that it comes from the bundle as well.
+    # Imported here so that it also comes from the bundle.
     from citronspring.records import COMPILED_INITS
 
     COMPILED_INITS.update(compiled)
--- a/citronspring/endpoints.py
+++ b/citronspring/endpoints.py
@@ -8,7 +8,7 @@
     from typing import NamedTuple
 
     class EndpointFields(NamedTuple):
-        """What an endpoint consists of."""
+        """Fields of an endpoint."""
 
         ip: str
         port: int
@@ -17,9 +17,9 @@
     from _collections import _tuplegetter
 
     class EndpointFields(tuple):
-        """The same without ``typing``, which a starting host does not import.
+        """The same fields without ``typing``, which a starting host does not import.
 
-        Validators take what has ``_fields`` for a named tuple.
+        Validators treat a class with ``_fields`` as a named tuple.
         """
 
         __slots__ = ()
@@ -29,7 +29,7 @@
         port: int = _tuplegetter(1, "Port.")
 
         def __new__(cls, ip, port):
-            """Make the pair."""
+            """Create the pair."""
             return tuple.__new__(cls, (ip, port))
 
         def __getnewargs__(self):
@@ -40,7 +40,7 @@
 
 
 class Endpoint(EndpointFields):
-    """An IP address and a port of a process or a tunnel end; sockets take it as is.
+    """An IP address and port of a process or tunnel end, usable as a socket address.
 
     The address is in text form, IPv4 or IPv6.
     """
@@ -52,6 +52,6 @@
 
     @classmethod
     def from_text(cls, text: str) -> Endpoint:
-        """Read ``ip:port``; raises ValueError when the port is no number."""
+        """Parse ``ip:port``; raises ValueError if the port is not a number."""
         ip, _, port = text.rpartition(":")
         return cls(ip.strip("[]"), int(port))
--- a/citronspring/host_settings.py
+++ b/citronspring/host_settings.py
@@ -11,29 +11,30 @@
 
 @record(eq=True)
 class HostSettings:
-    """What a process learns at start, checked by the adapter that read it."""
+    """Settings of a process, validated by the platform adapter that read them."""
 
     host_id: str
     zone: str
-    #: Where packets of callers arrive; callers are answered at the same port.
+    #: Address at which callers' packets arrive; callers are answered at the same port.
     packets: Endpoint
-    #: Where readiness, metrics and the state dump are served.
+    #: Address of the server for readiness, metrics and the state dump.
     readiness: Endpoint
-    #: Where peers ask for copies of what this host knows.
+    #: Address at which other hosts request peer snapshots and the change feed.
     peer_endpoint: Endpoint
-    #: Where hosts of the zone tell each other of silent targets; the port is the
-    #: same at all hosts.
+    #: Address for datagrams between the hosts of a zone about unresponsive targets; the
+    #: port is the same on all hosts.
     messages: Endpoint
-    #: Where other hosts answer that; some may be gone.
+    #: Addresses at which other hosts serve peer snapshots; some hosts may be gone.
     peers: tuple[Endpoint, ...]
     store: Endpoint
-    #: Bytes a second that this host's link carries.
+    #: Capacity of this host's link in bytes per second.
     link_rate: float
-    #: Part of one processor core that this host may use.
+    #: Share of one processor core that this host may use.
     processor_share: float
-    #: Seconds within which a change of configuration must be in force.
+    #: Seconds within which a change of configuration must take effect.
     change_bound: float
-    #: Seconds after a trouble (a cut, an outage, a restart) from which that holds.
+    #: Seconds after a disturbance (network partition, outage, restart) from which that
+    #: holds again.
     settling_time: float
-    #: Seconds from the signal to stop until the process is killed.
+    #: Seconds from the stop signal until the process is killed.
     stop_grace: float
--- a/citronspring/http_messages.py
+++ b/citronspring/http_messages.py
@@ -1,8 +1,8 @@
-"""Messages of HTTP/1.1, cut out of the bytes of a connection.
+"""Incremental parser for HTTP/1.1 messages.
 
-Written out here because the parser that the other mode uses imports half of what a
-start may cost, see `citronspring.light_stdlib`. It takes what RFC 9112 asks of both ends that
-this product has: bodies with a length or in chunks, and no others.
+The parser of the other mode is not used because importing it takes half of the time
+allowed for a start, see `citronspring.light_stdlib`. This one supports what RFC 9112
+requires of both ends of this system: bodies with a length or in chunks, and no others.
 """
 
 from __future__ import annotations
@@ -13,20 +13,21 @@
 if TYPE_CHECKING:
     from typing import NoReturn
 
-#: Bytes of a message before its body at most; those between hosts and of the store
-#: have some 200.
+#: Largest head of a message in bytes; heads from hosts and from the store have some
+#: 200.
 MAX_HEAD_BYTES = 16_384
 
-#: Bytes of a request's body at most; no question here has one.
+#: Largest body of a request in bytes; no valid request here has a body.
 MAX_REQUEST_BODY_BYTES = 16_384
 
-#: Bytes of a line that gives the size of a chunk.
+#: Longest line with the size of a chunk in bytes.
 MAX_CHUNK_LINE_BYTES = 256
 
 END_OF_HEAD = b"\r\n\r\n"
 END_OF_LINE = b"\r\n"
 
-#: Statuses of answers that come before the one that counts, and those without a body.
+#: First status of a final response; lower ones are interim. Then the statuses of
+#: responses without a body.
 FIRST_FINAL_STATUS = 200
 BODILESS_STATUSES = (204, 304)
 
@@ -34,16 +35,16 @@
 
 
 class MessageError(ValueError):
-    """Bytes that are no message; the connection is of no use any more."""
+    """Raised for bytes that are not a valid message; the connection must be closed."""
 
 
 @record
 class Message:
-    """A request or an answer."""
+    """A request or a response."""
 
-    #: The three parts of its first line.
+    #: The three parts of the start line.
     start_line: tuple[bytes, bytes, bytes]
-    #: Values by name in small letters.
+    #: Header values by lower-case name.
     headers: dict[bytes, bytes]
     body: bytes = b""
 
@@ -54,39 +55,39 @@
 
     @property
     def status(self) -> int:
-        """Status of an answer."""
+        """Status code of a response."""
         return int(self.start_line[1])
 
     @property
     def keep_alive(self) -> bool:
-        """Whether its sender will take or send another one."""
-        wishes = self.headers.get(b"connection", b"").lower()
+        """Whether the connection stays open after this message."""
+        options = self.headers.get(b"connection", b"").lower()
         if b"HTTP/1.0" in self.start_line:
-            return b"keep-alive" in wishes
-        return b"close" not in wishes
+            return b"keep-alive" in options
+        return b"close" not in options
 
 
 class MessageReader:
-    """Collects what a connection brings and returns it message by message.
+    """Collects the bytes of a connection and returns complete messages.
 
     Parameters
     ----------
     expect_responses : bool
-        Whether answers are read, and not requests.
+        Whether to parse responses instead of requests.
     """
 
     def __init__(self, expect_responses: bool) -> None:
         self.expect_responses = expect_responses
         self.buffer = bytearray()
-        #: The message whose body is not complete yet.
+        #: The message whose body is incomplete.
         self.message: Message | None = None
-        #: Bytes of its body, None for one in chunks.
+        #: Length of its body in bytes, None if it is chunked.
         self.length: int | None = 0
         self.chunks = bytearray()
 
     @property
     def body_size(self) -> int:
-        """Bytes that the body under way has, or says that it will have."""
+        """Bytes that the current body has, or will have according to its head."""
         if self.message is None:
             return 0
         if self.length is not None:
@@ -94,16 +95,16 @@
         return len(self.chunks) + len(self.buffer)
 
     def feed(self, data: bytes) -> None:
-        """Take bytes of the connection."""
+        """Append bytes received on the connection."""
         self.buffer += data
 
     def next_message(self) -> Message | None:
-        """Return the next message that is complete, None if there is none yet.
+        """Return the next complete message, None if there is none yet.
 
         Raises
         ------
         MessageError
-            If what has come is no message.
+            If the received bytes are not a valid message.
         """
         while self.message is None:
             message = self.parse_head()
@@ -122,7 +123,7 @@
         return message
 
     def parse_head(self) -> Message | None:
-        """Return a message without its body, None while its head is not complete."""
+        """Return a message without its body, None while its head is incomplete."""
         end = self.buffer.find(END_OF_HEAD, 0, MAX_HEAD_BYTES)
         if end < 0:
             if len(self.buffer) >= MAX_HEAD_BYTES:
@@ -133,7 +134,7 @@
         return decode_head(lines, self.expect_responses)
 
     def consume(self, length: int) -> bytes | None:
-        """Return that many bytes once they are there."""
+        """Return and remove the given number of bytes, None while there are fewer."""
         if len(self.buffer) < length:
             return None
         taken = bytes(self.buffer[:length])
@@ -141,12 +142,12 @@
         return taken
 
     def parse_chunks(self) -> bytes | None:
-        """Return the chunks of a body together once the last one is there."""
+        """Return the body from its chunks, None until the last chunk is complete."""
         while True:
             end = self.buffer.find(END_OF_LINE, 0, MAX_CHUNK_LINE_BYTES)
             if end < 0:
                 if len(self.buffer) >= MAX_CHUNK_LINE_BYTES:
-                    raise MessageError("the size of a chunk is missing")
+                    raise MessageError("a chunk has no size line")
                 return None
             size = chunk_size(bytes(self.buffer[:end]))
             start = end + len(END_OF_LINE)
@@ -154,7 +155,7 @@
             if len(self.buffer) < after:
                 return None
             if self.buffer[after - len(END_OF_LINE) : after] != END_OF_LINE:
-                raise MessageError("a chunk does not end where it says")
+                raise MessageError("the size of a chunk is wrong")
             self.chunks += self.buffer[start : start + size]
             del self.buffer[:after]
             if size == 0:
@@ -164,10 +165,10 @@
 
 
 def decode_head(lines: list[bytes], answer: bool) -> Message:
-    """Return the message whose head has these lines."""
+    """Return the message with the given head."""
     start = lines[0].split(b" ", 2)
     if answer and len(start) == 2:
-        # The phrase behind the status may be missing.
+        # The reason phrase may be missing.
         start.append(b"")
     if len(start) != 3:
         raise_malformed(lines[0])
@@ -186,30 +187,30 @@
 
 
 def raise_malformed(line: bytes) -> NoReturn:
-    """Raise the error of a line that belongs to no message."""
-    raise MessageError(f"{line!r:.80} is no part of a message")
+    """Raise the error for an invalid line."""
+    raise MessageError(f"invalid line in a message: {line!r:.80}")
 
 
 def body_length(message: Message, answer: bool) -> int | None:
-    """Return how many bytes a body will have, None for one in chunks."""
+    """Return the length of a body in bytes, None if it is chunked."""
     coding = message.headers.get(b"transfer-encoding")
     length = message.headers.get(b"content-length")
     if coding is not None:
         if coding.lower() != b"chunked" or length is not None:
-            raise MessageError(f"a body in {coding!r:.40} is not understood")
+            raise MessageError(f"unsupported transfer coding: {coding!r:.40}")
         return None
     if length is not None:
         if not length.isdigit():
-            raise MessageError(f"{length!r:.40} is no length")
+            raise MessageError(f"invalid content length: {length!r:.40}")
         return int(length)
     if answer and message.status not in BODILESS_STATUSES:
-        raise MessageError("the answer does not say how long it is")
+        raise MessageError("the response has no length")
     return 0
 
 
 def chunk_size(line: bytes) -> int:
-    """Return the size of a chunk from the line before it."""
+    """Return the size of a chunk from its size line."""
     digits = line.partition(b";")[0].strip()
     if not digits or not HEX_DIGITS.issuperset(digits):
-        raise MessageError(f"{line!r:.40} is no size of a chunk")
+        raise MessageError(f"invalid chunk size: {line!r:.40}")
     return int(digits, 16)
--- a/citronspring/json_text.py
+++ b/citronspring/json_text.py
@@ -1,7 +1,7 @@
-"""JSON as `json` reads and writes it, without the modules that it imports.
+"""JSON as in `json`, without the modules that `json` imports.
 
-See `citronspring.light_stdlib` for why. The work is done by the same functions as in the
-standard module, so texts and errors are the same.
+See `citronspring.light_stdlib` for the reason. The C functions behind `json` do the
+work, so output and errors are the same.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
     from typing import Any
 
     def compact_encoder(default: Callable[[Any], Any]) -> Callable[[object], str]:
-        """Return a function that writes values without spaces."""
+        """Return a function that encodes values without spaces."""
 else:
     from _json import encode_basestring_ascii, make_encoder, make_scanner
 
-    #: Characters that may stand around a value.
+    #: Whitespace that may surround a value.
     WHITESPACE = " \t\n\r"
 
-    #: Names of the numbers that JSON itself does not know.
+    #: Names of numbers that are not part of JSON but accepted by `json`.
     CONSTANTS = {
         "-Infinity": float("-inf"),
         "Infinity": float("inf"),
@@ -31,7 +31,7 @@
     }
 
     class ScannerOptions:
-        """What the scanner reads its options from: those of `json.loads`."""
+        """Options that the scanner reads; the defaults of `json.loads`."""
 
         strict = True
         object_hook = None
@@ -43,31 +43,31 @@
     scan = make_scanner(ScannerOptions)
 
     def loads(text):
-        """Return the value in a text, str or UTF-8; raises ValueError if it is none."""
+        """Return the value in a str or UTF-8 text; raises ValueError if invalid."""
         if not isinstance(text, str):
             text = bytes(text).decode()
         text = text.strip(WHITESPACE)
         try:
             value, end = scan(text, 0)
         except (StopIteration, SystemError):
-            # Without the standard module the scanner cannot say what is wrong.
+            # Without the standard module the scanner cannot report what is wrong.
             end = None
         if end != len(text):
             return parse_with_json_module(text)
         return value
 
     def parse_with_json_module(text):
-        """Raise the error that the standard module has for a text."""
+        """Raise the error that the standard module raises for a text."""
         from json import loads as standard
 
         return standard(text)
 
     def raise_unsupported_type(value):
-        """Raise TypeError for a value that JSON has no form for."""
-        raise TypeError(f"{type(value).__name__} has no form in JSON")
+        """Raise TypeError for a value that JSON cannot represent."""
+        raise TypeError(f"{type(value).__name__} is not JSON serializable")
 
     def chunk_encoder(default, colon, comma):
-        """Return the function that writes a value as a list of pieces."""
+        """Return the function that encodes a value as a list of strings."""
         return make_encoder(
             None,
             default,
@@ -83,13 +83,13 @@
     encode_chunks = chunk_encoder(raise_unsupported_type, ": ", ", ")
 
     def dumps(value):
-        """Return a value as text; raises TypeError if it has no form."""
+        """Return a value as JSON; raises TypeError if it cannot be represented."""
         return "".join(encode_chunks(value, 0))
 
     def compact_encoder(default):
-        """Return a function that writes values without spaces.
+        """Return a function that encodes values without spaces.
 
-        ``default`` returns another value for one that has no form.
+        ``default`` returns a replacement for a value that JSON cannot represent.
         """
         pieces = chunk_encoder(default, ":", ",")
 
--- a/citronspring/light_sockets.py
+++ b/citronspring/light_sockets.py
@@ -1,6 +1,6 @@
-"""Sockets and signals, without the enums that their standard modules make of names.
+"""Sockets and signals, without the enums that the standard modules define.
 
-See `citronspring.light_stdlib` for why.
+See `citronspring.light_stdlib` for the reason.
 """
 
 from __future__ import annotations
@@ -72,6 +72,6 @@
         __slots__ = ()
 
         def accept(self):
-            """Return the socket of a connection that waits, and its other end."""
+            """Return the socket of a waiting connection and the peer's address."""
             descriptor, address = self._accept()
             return Socket(self.family, self.type, self.proto, descriptor), address
--- a/citronspring/light_stdlib.py
+++ b/citronspring/light_stdlib.py
@@ -1,10 +1,10 @@
-"""Parts of the standard library, without what their own modules import beside them.
+"""Parts of the standard library, without the imports of their public modules.
 
-A host that was killed serves again only after its imports. ``enum``, ``re`` and
-``typing`` alone are half of those that ``socket``, ``signal``, ``selectors``, ``json``
-and ``collections`` bring along, so a starting host takes the built-in halves of these
-modules, and a class of its own where there is none. Type checkers see the standard
-ones; what is imported later may use them. Sockets and signals are in
+A restarted host serves only after its imports. ``enum``, ``re`` and ``typing`` alone
+are half of what ``socket``, ``signal``, ``selectors``, ``json`` and ``collections``
+import. A starting host therefore uses the built-in C modules behind them, and small
+replacement classes where there is none. Type checkers see the standard modules, and
+code that is imported later may use them. Sockets and signals are in
 `citronspring.light_sockets`.
 """
 
@@ -40,7 +40,7 @@
     from struct import Struct
 
     def getenv(name: str) -> str | None:
-        """Return a variable of the environment, None if it is not set."""
+        """Return an environment variable, None if it is not set."""
 else:
     from _bisect import bisect_left
     from _collections import deque
@@ -50,7 +50,7 @@
     from posix import write as write_bytes
 
     class Counter(dict):
-        """Counts by key; one that was never counted is 0."""
+        """Counts by key; a missing key counts as 0."""
 
         __slots__ = ()
 
@@ -58,7 +58,7 @@
             return 0
 
     class LightEnum:
-        """Base of classes whose constants are their only instances, as of an enum."""
+        """Base of classes whose constants are their only instances, like an enum."""
 
         __slots__ = ("name", "value")
 
@@ -74,6 +74,6 @@
             return f"{type(self).__name__}.{self.name}"
 
     def getenv(name):
-        """Return a variable of the environment, None if it is not set."""
+        """Return an environment variable, None if it is not set."""
         value = environ.get(name.encode())
         return None if value is None else value.decode(errors="surrogateescape")
--- a/citronspring/records.py
+++ b/citronspring/records.py
@@ -1,10 +1,10 @@
-"""Data classes that cost little to define, for what a starting host imports.
+"""Data classes that are cheap to define, for modules that a starting host imports.
 
-A host that was killed serves again only after its imports, and the standard library's
-data classes were a third of them: their module imports a parser of Python, and each
-class compiles six methods. Here a class compiles one, when the first instance is made:
-most kinds of messages are not needed for the first packet. Type checkers see the
-standard decorator.
+A restarted host serves only after its imports, and the standard library's data classes
+took a third of that time: their module imports a Python parser, and each class compiles
+six methods. A class here compiles one, when its first instance is created, because most
+kinds of messages are not needed for the first packet. Type checkers see the standard
+decorator.
 """
 
 from __future__ import annotations
@@ -21,32 +21,32 @@
     RECORD_FIELDS: list[tuple[tuple[str, ...], dict[str, Any]]]
     COMPILED_INITS: dict[str, Any]
 else:
-    #: Fields of each class and their defaults, for what compiles them ahead.
+    #: Field names and defaults of each class, for the build that compiles them.
     RECORD_FIELDS = []
 
-    #: Compiled sources, see `init_source`; filled by `citronspring.bundles`.
+    #: Compiled code by its source, see `init_source`; filled by `citronspring.bundles`.
     COMPILED_INITS = {}
 
     class Factory:
-        """Makes the default of a field anew for each instance."""
+        """Creates a new default value of a field for each instance."""
 
         def __init__(self, make):
             self.make = make
 
     def field(*, default_factory):
-        """Give a field a default that is made anew for each instance."""
+        """Return a field whose default is created for each instance."""
         return Factory(default_factory)
 
     def record(cls=None, *, eq=False):
-        """Give a class slots and an ``__init__`` made from its annotations.
+        """Give a class slots and an ``__init__`` generated from its annotations.
 
         Parameters
         ----------
         cls : type
             The class; fields with a default come last, as in a signature.
         eq : bool
-            Whether instances are equal when all fields are; they are not hashable
-            then.
+            Whether instances are equal when all fields are; such instances are not
+            hashable.
         """
         if cls is None:
             return lambda decorated: record(decorated, eq=eq)
@@ -61,23 +61,23 @@
         if eq:
             namespace["__eq__"] = records_equal
             namespace["__hash__"] = None
-        made = type(cls)(cls.__name__, cls.__bases__, namespace)
+        new_class = type(cls)(cls.__name__, cls.__bases__, namespace)
         RECORD_FIELDS.append((names, defaults))
 
         def init_first(self, *values, **named):
-            made.__init__ = make_init(names, defaults)
-            made.__init__(self, *values, **named)
+            new_class.__init__ = make_init(names, defaults)
+            new_class.__init__(self, *values, **named)
 
-        made.__init__ = init_first
-        return made
+        new_class.__init__ = init_first
+        return new_class
 
 
 def make_init(names: tuple[str, ...], defaults: dict[str, Any]) -> Any:
     """Return the ``__init__`` that sets each field."""
     source = init_source(names, defaults)
-    known: dict[str, Any] = {f"_{name}": value for name, value in defaults.items()}
-    exec(COMPILED_INITS.get(source, source), known)
-    return known["__init__"]
+    scope: dict[str, Any] = {f"_{name}": value for name, value in defaults.items()}
+    exec(COMPILED_INITS.get(source, source), scope)
+    return scope["__init__"]
 
 
 def init_source(names: tuple[str, ...], defaults: dict[str, Any]) -> str:
@@ -95,13 +95,13 @@
 
 
 def record_repr(self: Any) -> str:
-    """Return the fields as they would be given, for logs and failed tests."""
+    """Return an instance's fields as in its constructor, for logs and failed tests."""
     fields = ", ".join(f"{name}={getattr(self, name)!r}" for name in self.__slots__)
     return f"{type(self).__name__}({fields})"
 
 
 def records_equal(self: Any, other: Any) -> bool:
-    """Whether both are of one class and all fields are equal."""
+    """Whether both have the same class and all fields are equal."""
     return type(self) is type(other) and all(
         getattr(self, name) == getattr(other, name) for name in self.__slots__
     )
--- a/deploy/bundle.py
+++ b/deploy/bundle.py
@@ -1,4 +1,4 @@
-"""Builds the bundle that a host starts from: ``python3 deploy/bundle.py``."""
+"""Build the bundle that a host starts from: ``python3 deploy/bundle.py``."""
 
 import sys
 from importlib import import_module
@@ -9,12 +9,12 @@
 
 from citronspring import bundles, records  # noqa: E402
 
-#: What a host imports, and all other modules with it.
+#: Modules that a host imports; they import all the others.
 HOST_MODULES = ("citronspring.platform.__main__", "citronspring.daemons.token_host")
 
 
 def compile_modules() -> dict:
-    """Return the code of every module of ours that a host imports."""
+    """Return the code of every module of the package that a host imports."""
     for name in HOST_MODULES:
         import_module(name)
     paths = {
--- a/deploy/host.py
+++ b/deploy/host.py
@@ -1,12 +1,12 @@
-"""Starts a host on the users' platform: ``python3 -S deploy/host.py``.
+"""Start a host on the users' platform: ``python3 -S deploy/host.py``.
 
-The same as ``python -m citronspring.platform``, without the standard library's module
-that runs modules: its imports would be a fifth of all that a start costs.
+Same as ``python -m citronspring.platform``, without the standard module `runpy`, whose
+imports would take a fifth of the time of a start.
 """
 
 import sys
 
-# The folder of this script, from which Python would import, is not the package's.
+# Python would import from this script's directory, which does not hold the package.
 sys.path[0] = sys.path[0].rpartition("/")[0]
 
 from citronspring.bundles import install_bundle  # noqa: E402
--- a/tests/test_http_messages.py
+++ b/tests/test_http_messages.py
@@ -1,4 +1,4 @@
-"""Messages are cut out of a connection's bytes as an established parser does it."""
+"""The HTTP parser agrees with an established one."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class Expected:
-    """What the other parser reads."""
+    """The messages that the reference parser reads."""
 
     def __init__(self, parser, method):
         self.parser = parser(self)
@@ -65,14 +65,14 @@
 
 
 def pieces_of(data, cuts):
-    """Return the bytes, cut at some places."""
+    """Return the bytes, split at the given positions."""
     places = sorted({cut % (len(data) + 1) for cut in cuts})
     bounds = [0, *places, len(data)]
     return [data[start:end] for start, end in zip(bounds, bounds[1:], strict=False)]
 
 
 def read(data, cuts, expect_responses):
-    """Return the messages in bytes that come in pieces."""
+    """Return the messages in bytes that arrive in pieces."""
     reader = MessageReader(expect_responses)
     found = []
     for piece in pieces_of(data, cuts):
@@ -86,7 +86,7 @@
 
 
 @given(st.sampled_from(ANSWERS), CUTS)
-def test_answers_are_read_as_by_the_other_parser(data, cuts):
+def test_responses_match_the_reference_parser(data, cuts):
     expected = Expected(
         httptools.HttpResponseParser, lambda one: one.parser.get_status_code()
     )
@@ -96,7 +96,7 @@
 
 
 @given(st.lists(st.sampled_from(REQUESTS[::2]), max_size=5), CUTS)
-def test_requests_in_a_row_are_read_as_by_the_other_parser(requests, cuts):
+def test_pipelined_requests_match_the_reference_parser(requests, cuts):
     data = b"".join(requests)
     expected = Expected(httptools.HttpRequestParser, lambda one: one.url.decode())
     if data:
@@ -105,16 +105,16 @@
     assert found == expected.messages
 
 
-def test_last_request_of_a_connection_says_so():
+def test_connection_close_is_recognised():
     assert not read(REQUESTS[1], [], False)[0].keep_alive
 
 
-def test_answer_that_comes_before_the_one_that_counts_is_passed_over():
+def test_interim_response_is_skipped():
     assert [m.status for m in read(EARLY, [3, 30], True)] == [200]
 
 
 @pytest.mark.parametrize("data", NO_ANSWERS)
-def test_what_is_no_answer_is_an_error(data):
+def test_invalid_response_raises(data):
     with pytest.raises(MessageError):
         read(data, [], True)
 
@@ -131,10 +131,10 @@
     "head", [b"Content-Length: 900000", b"Transfer-Encoding: chunked"]
 )
 def test_large_request_does_not_fill_the_memory(head):
-    """A host's memory fills with a request that its sender never ends.
+    """A request without an end fills the memory of a host.
 
-    Whoever reaches the readiness address announces a body of any size and sends on;
-    the bytes would be kept until the last one has come.
+    Anyone who reaches the readiness address can announce a body of any size and keep
+    sending; the bytes would be stored until the last one arrives.
     """
     reader = MessageReader(expect_responses=False)
     reader.feed(b"POST / HTTP/1.1\r\n" + head + b"\r\n\r\n90000\r\n")
@@ -144,7 +144,7 @@
             reader.feed(b"x" * 1000)
 
 
-def test_size_of_a_body_is_known_before_it_is_there():
+def test_body_size_is_known_before_the_body_arrives():
     reader = MessageReader(expect_responses=True)
     reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\nab")
     assert reader.next_message() is None
--- a/tests/test_json_text.py
+++ b/tests/test_json_text.py
@@ -1,4 +1,4 @@
-"""JSON is read and written as the standard module does, though that is not imported."""
+"""JSON is read and written as by the standard module, without importing it."""
 
 from __future__ import annotations
 
@@ -30,19 +30,18 @@
 
 
 @pytest.mark.parametrize("text", NO_JSON)
-def test_what_is_no_json_is_a_value_error(text):
+def test_invalid_json_raises_value_error(text):
     with pytest.raises(ValueError, match="line 1|Expecting|Extra"):
         loads(text)
 
 
 @pytest.mark.parametrize("text", NO_JSON)
-def test_bad_text_does_not_end_a_process_that_has_only_just_started(text):
-    """Bad settings are written, and the process ends instead of serving on.
+def test_invalid_text_does_not_end_a_freshly_started_process(text):
+    """Invalid settings are written, and the process ends instead of serving on.
 
-    The host gets a signal to read its settings, which are cut off. The scanner that
-    reads them asks for the error class of a module that a starting host has not
-    imported, gets none and returns without an error; the interpreter then raises
-    `SystemError`, which nothing expects.
+    The host is signalled to reload truncated settings. The scanner looks up the error
+    class in a module that a starting host has not imported, and returns without an
+    error; the interpreter then raises `SystemError`, which nothing handles.
     """
     code = (
         f"from citronspring.json_text import loads\n"
@@ -54,14 +53,14 @@
     assert done.stdout == "refused\n", done.stderr
 
 
-def test_numbers_that_json_does_not_know_are_read():
+def test_nonstandard_numbers_are_read():
     assert loads('{"a": Infinity}') == {"a": math.inf}
 
 
-def test_writer_asks_for_another_value():
+def test_encoder_uses_its_default():
     assert compact_encoder(bytes.hex)({"a": b"\x01", "b": [1]}) == '{"a":"01","b":[1]}'
 
 
-def test_values_without_a_form_are_refused():
+def test_unserializable_values_are_refused():
     with pytest.raises(TypeError, match="set"):
         dumps({"a": {1}})
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""The cheap data classes behave as the standard ones do where they are used."""
+"""The light-weight data classes behave like the standard ones."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @record
 class Row:
-    """A row with a list of its own."""
+    """A row with a list as default."""
 
     name: str
     values: list = field(default_factory=list)
@@ -25,10 +25,10 @@
 
 @record
 class Empty:
-    """No field."""
+    """A class without fields."""
 
 
-def test_fields_are_given_by_place_or_by_name():
+def test_fields_are_given_by_position_or_name():
     assert (Point(1).x, Point(1).y) == (1, 2)
     assert Point(y=3, x=1) == Point(1, 3)
     assert Point(1) != Point(2)
@@ -50,7 +50,7 @@
     assert second.values == []
 
 
-def test_matches_by_place():
+def test_matches_by_position():
     match Point(1, 5):
         case Point(1, y):
             assert y == 5
