--- a/citronspring/platform/__init__.py
+++ b/citronspring/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: translates its names and formats, no more."""
+"""Adapter to the users' platform: translates its names and formats and nothing else."""
--- a/citronspring/platform/__main__.py
+++ b/citronspring/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Starts a host on the users' platform: ``python -m citronspring.platform``."""
+"""Start a host on the users' platform: ``python -m citronspring.platform``."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 if TYPE_CHECKING:
     from citronspring.host_settings import HostSettings
 
-#: Path under which the platform's routers ask whether a host may get flows.
+#: Path at which the platform's routers ask whether a host may receive flows.
 READINESS_PATH = "/api/ready"
 
-#: Exit code of a process whose settings cannot be used.
+#: Exit code when the settings are invalid.
 EXIT_BAD_SETTINGS = 2
 
 
@@ -50,12 +50,12 @@
 )
 
 
-#: Argument that has the settings checked and nothing started.
+#: Argument that checks the settings without starting a host.
 CHECK_COMMAND = "check-settings"
 
 
 def main() -> int:
-    """Run a host until it is told to stop, or check its settings."""
+    """Run a host until it is stopped, or check its settings."""
     try:
         settings = read_settings()
     except SettingsError as error:
@@ -68,10 +68,10 @@
 
 
 def serve(settings: HostSettings) -> int:
-    """Run a host until it is told to stop."""
+    """Run a host until it is stopped."""
     call = ListEntries()
     prefetch = start_prefetch(settings.store, call, encode_call(call), boot_clock())
-    # Imported while the answer comes in.
+    # Imported here so that the import overlaps with the pending request.
     from citronspring.daemons.token_host import TokenHost
 
     TokenHost(settings, PLATFORM_ADAPTER, prefetch).run()
--- a/citronspring/platform/addresses.py
+++ b/citronspring/platform/addresses.py
@@ -1,32 +1,32 @@
-"""IPv4 addresses and ports as the platform writes them."""
+"""Parsing of IPv4 addresses and ports in the platform's notation."""
 
 from __future__ import annotations
 
 from citronspring.endpoints import Endpoint
 from citronspring.light_sockets import AF_INET, inet_pton
 
-#: Largest number of a port.
+#: Largest port number.
 MAX_PORT = 65535
 
 
 def parse_ipv4(text: str) -> int:
-    """Return an IPv4 address as a number; raises ValueError if it is none."""
+    """Return an IPv4 address as an integer; raises ValueError if it is invalid."""
     try:
         return int.from_bytes(inet_pton(AF_INET, text), "big")
     except OSError as error:
-        raise ValueError(f"{text!r} is no IPv4 address") from error
+        raise ValueError(f"{text!r} is not an IPv4 address") from error
 
 
 def parse_port(text: str) -> int:
-    """Return a port; raises ValueError if it is none."""
+    """Return a port number; raises ValueError if it is invalid."""
     port = int(text)
     if not 0 < port <= MAX_PORT:
-        raise ValueError(f"{text!r} is no port")
+        raise ValueError(f"{text!r} is not a port number")
     return port
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Read ``ip:port``; raises ValueError if it is none."""
+    """Parse ``ip:port``; raises ValueError if it is invalid."""
     ip, _, port = text.rpartition(":")
     parse_ipv4(ip)
     return Endpoint(ip, parse_port(port))
--- a/citronspring/platform/entries.py
+++ b/citronspring/platform/entries.py
@@ -1,4 +1,4 @@
-"""Entries of the store: the operators' configuration and registered targets."""
+"""Decoding of store entries: configuration, registered targets and zone readers."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
     from citronspring.endpoints import Endpoint
 
-#: Key of the configuration in force.
+#: Key of the current configuration.
 CONFIGURATION_KEY = "op/config"
 
-#: Beginning of the keys of registered targets; what follows is the target's id.
+#: Prefix of the keys of registered targets, followed by the target's id.
 TARGET_PREFIX = "servers/"
 
-#: Beginning of the keys under which hosts register as readers; a zone follows.
+#: Prefix of the keys under which zone readers register, followed by the zone.
 READER_PREFIX = "readers/"
 
-#: Beginning of the keys by which operators ask to empty a zone, whose name follows.
-#: The value says nothing.
+#: Prefix of the keys by which operators drain a zone, followed by the zone. The value
+#: is ignored.
 DRAIN_PREFIX = "op/evacuate/"
 
-#: Requests of this kind may run twice.
+#: Route type whose requests may be executed more than once.
 IDEMPOTENT_ROUTE_TYPE = "idempotent"
 
-#: What a target says of itself: whether it is about to stop.
+#: Whether a target is leaving, by the state that it registers.
 LEAVING_BY_STATE = {"ready": False, "draining": True}
 
-#: Fields that an entry of a target must have, with their types. They are checked
-#: though not all are used: other programs write under the same keys, and what only
-#: looks like a target would be given flows.
+#: Required fields of a target's entry and their types. All are checked, also unused
+#: ones: other programs write under the same prefix, and an entry that only resembles a
+#: target must not receive flows.
 TARGET_FIELDS: dict[str, tuple[type, ...]] = {
     "service": (str,),
     "addr": (str,),
@@ -47,18 +47,18 @@
     "warmup_left_ms": (int, float),
 }
 
-#: Names the start of a target; targets of older releases do not write it.
+#: Field with the start time of the target's process; older targets do not write it.
 START_FIELD = "born"
 
-#: Longest time in seconds that a target can say it stays slow: a day.
+#: Longest remaining warm-up in seconds that a target may register: one day.
 MAX_WARMUP = 86_400.0
 
-#: Hexadecimal digits, for the number within a target's id.
+#: Hexadecimal digits, for the number in a target's id.
 HEX_DIGITS = frozenset("0123456789abcdef")
 
 MILLISECOND = 0.001
 
-#: What decoding raises when a value has another shape than the pages say.
+#: Exceptions raised by decoding a value that does not have the specified form.
 DECODE_ERRORS = (
     AttributeError,
     KeyError,
@@ -72,12 +72,12 @@
 def decode_entry(
     key: str, value: bytes, revision: int
 ) -> Configuration | Target | ZoneReader | None:
-    """Return what an entry holds; None for a key that is nothing to a host.
+    """Return the decoded entry; None for a key that a host does not use.
 
     Raises
     ------
     StoredValueError
-        If the value is not what its key says.
+        If the value is not valid for its key.
     """
     if key == CONFIGURATION_KEY:
         return decode_configuration(parse_object(value))
@@ -93,18 +93,18 @@
 
 
 def parse_object(value: bytes) -> dict[str, Any]:
-    """Return the object in a value."""
+    """Return the JSON object in a value."""
     try:
         found = loads(value)
     except (ValueError, RecursionError) as error:
-        raise StoredValueError(f"the value is no JSON: {error}") from error
+        raise StoredValueError(f"the value is not valid JSON: {error}") from error
     if not isinstance(found, dict):
-        raise StoredValueError("the value is no object")
+        raise StoredValueError("the value is not a JSON object")
     return found
 
 
 def decode_configuration(body: dict[str, Any]) -> Configuration:
-    """Translate the operators' configuration."""
+    """Return the decoded configuration."""
     try:
         return Configuration(
             revision=int(body["version"]),
@@ -112,11 +112,11 @@
             idle_timeout=float(body["limits"]["idle_timeout_ms"]) * MILLISECOND,
         )
     except DECODE_ERRORS as error:
-        raise StoredValueError(f"the configuration is not valid: {error!r}") from error
+        raise StoredValueError(f"invalid configuration: {error!r}") from error
 
 
 def decode_route(body: dict[str, Any]) -> Route:
-    """Translate a route."""
+    """Return the decoded route."""
     # ``host`` is the service address and ``prefix`` its port between slashes.
     address = parse_ipv4(body["host"])
     port = parse_port(body["prefix"].strip("/"))
@@ -138,12 +138,12 @@
 
 
 def decode_objective(milliseconds: float | None) -> float:
-    """Return a latency objective in seconds; infinite where a route has none."""
+    """Return a latency objective in seconds; infinite if the route has none."""
     return float(milliseconds) * MILLISECOND if milliseconds else INFINITY
 
 
 def decode_target(target_id: str, body: dict[str, Any], revision: int) -> Target:
-    """Translate what a target registered."""
+    """Return the decoded registration of a target."""
     try:
         check_target_fields(body)
         return Target(
@@ -160,55 +160,55 @@
             sequence=body["seq"],
         )
     except DECODE_ERRORS as error:
-        raise StoredValueError(f"the target is not valid: {error!r}") from error
+        raise StoredValueError(f"invalid target: {error!r}") from error
 
 
 def check_target_fields(body: dict[str, Any]) -> None:
-    """Raise ValueError if a field of a target is missing or of another type."""
+    """Raise ValueError if a field of a target is missing or has the wrong type."""
     for name, types in TARGET_FIELDS.items():
         if not has_type(body.get(name), types):
-            raise ValueError(f"{name} is {body.get(name)!r:.40}")
+            raise ValueError(f"invalid {name}: {body.get(name)!r:.40}")
     if START_FIELD in body and decode_start(body) is None:
-        raise ValueError(f"{START_FIELD} is {body[START_FIELD]!r:.40}")
+        raise ValueError(f"invalid {START_FIELD}: {body[START_FIELD]!r:.40}")
 
 
 def has_type(value: object, types: tuple[type, ...]) -> bool:
-    """Whether a value has one of some JSON types; a truth value is no number."""
+    """Whether a value has one of the given JSON types; a boolean is not a number."""
     return type(value) in types
 
 
 def decode_start(body: dict[str, Any]) -> int | None:
-    """Return which start of a target an entry is of, None if it does not say."""
+    """Return the start time of a target's process, None if the entry has none."""
     started = body.get(START_FIELD)
     return started if has_type(started, (int,)) else None
 
 
 def decode_warmup(milliseconds: float) -> float:
-    """Return how long a target stays slow, in seconds."""
+    """Return the remaining warm-up of a target in seconds."""
     if not 0 <= milliseconds <= MAX_WARMUP / MILLISECOND:
-        raise ValueError(f"a target cannot stay slow for {milliseconds!r:.40} ms")
+        raise ValueError(f"warm-up out of range: {milliseconds!r:.40} ms")
     return milliseconds * MILLISECOND
 
 
 def decode_reader(zone: str, body: dict[str, Any], revision: int) -> ZoneReader:
-    """Translate what the reader of a zone registered."""
+    """Return the decoded registration of a zone reader."""
     try:
         return ZoneReader(zone, str(body["host"]), parse_endpoint(body["at"]), revision)
     except DECODE_ERRORS as error:
-        raise StoredValueError(f"the reader is not valid: {error!r}") from error
+        raise StoredValueError(f"invalid zone reader: {error!r}") from error
 
 
 def encode_reader(host_id: str, endpoint: Endpoint) -> bytes:
-    """Return what a host registers as the reader of its zone."""
+    """Return the value with which a host registers as zone reader."""
     return dumps({"host": host_id, "at": str(endpoint)}).encode()
 
 
 def parse_incarnation(target_id: str) -> int:
-    """Return the number in a target's id, that of its hexadecimal digits."""
+    """Return the hexadecimal number at the end of a target's id."""
     _, _, digits = target_id.rpartition("-")
     if not digits or not HEX_DIGITS.issuperset(digits):
-        raise ValueError(f"the id {target_id!r} ends in no hexadecimal number")
+        raise ValueError(f"the id {target_id!r} does not end in a hexadecimal number")
     number = int(digits, 16)
     if not 0 < number < 1 << 64:
-        raise ValueError(f"the number of {target_id!r} does not fit 8 bytes, or is 0")
+        raise ValueError(f"the number in {target_id!r} is 0 or exceeds 8 bytes")
     return number
--- a/citronspring/platform/leases.py
+++ b/citronspring/platform/leases.py
@@ -1,4 +1,4 @@
-"""Leases of the platform's store, and the registration of a zone's reader."""
+"""Leases in the platform's store, and the registration of a zone reader."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
     from citronspring.tokens.messages import ElectionAnswer, ElectionCall
 
-#: Answers of the store.
+#: HTTP status codes of the store's answers.
 OK = 200
 NO_SUCH_LEASE = 404
 CONDITION_FAILED = 412
 
-#: Milliseconds of a second; the platform counts in them.
+#: Milliseconds per second; the platform gives times in milliseconds.
 MILLISECONDS = 1000
 
 
 def encode_election_call(call: ElectionCall) -> HttpRequest:
-    """Return the request of a call for the choice of a zone's reader."""
+    """Return the HTTP request of an election call."""
     match call:
         case GrantLease():
             ttl = round(call.ttl * MILLISECONDS)
@@ -53,7 +53,7 @@
 
 
 def claim_transaction(call: ClaimZone) -> dict[str, Any]:
-    """Return the write that registers a reader; as revision 0 means that none is."""
+    """Return the transaction that registers a zone reader; revision 0: none yet."""
     key = READER_PREFIX + call.zone
     reader = encode_reader(call.host_id, call.endpoint)
     value = b2a_base64(reader, newline=False).decode()
@@ -65,14 +65,14 @@
 
 
 def encode_body(body: dict[str, Any]) -> bytes:
-    """Return a body as it is sent."""
+    """Return the body of a request as JSON."""
     return dumps(body).encode()
 
 
 def decode_election_answer(
     call: ElectionCall, status: int, body: bytes
 ) -> ElectionAnswer:
-    """Translate the answer to such a call."""
+    """Return the decoded answer to an election call."""
     if status == NO_SUCH_LEASE:
         return LeaseLost()
     if status == CONDITION_FAILED:
@@ -85,4 +85,4 @@
         found = loads(body)
         return LeaseGranted(int(found["lease"]), found["ttl_ms"] / MILLISECONDS)
     except DECODE_ERRORS as error:
-        return Unanswered(f"an answer that cannot be read: {error!r}")
+        return Unanswered(f"the answer cannot be decoded: {error!r}")
--- a/citronspring/platform/packets.py
+++ b/citronspring/platform/packets.py
@@ -1,4 +1,4 @@
-"""Packets of callers: the platform's datagram format."""
+"""The platform's datagram format for packets of callers."""
 
 from __future__ import annotations
 
@@ -8,27 +8,28 @@
 from citronspring.tcp_flags import ACK, FIN, RST, SYN
 from citronspring.tokens.entities import PORT_BITS, Packet
 
-#: seq, ack, flags, echo, dport, sport, src, dst, sum, len. The fourth, ``echo``, is
-#: what either end returns to the other and is used as the flow's token.
+#: Fields: seq, ack, flags, echo, dport, sport, src, dst, sum, len. Each end returns the
+#: fourth, ``echo``, unchanged to the other; it carries the flow's token.
 HEADER = Struct(">IIBIHHIIIH")
 
-#: Where the token stands, and the two ports and addresses that make a flow's key.
+#: Offset of the token, and the slice with the two ports and addresses that form a
+#: flow's key.
 TOKEN_OFFSET = 9
 FLOW_KEY = slice(13, 25)
 
-#: Most bytes of payload in a packet.
+#: Largest payload of a packet in bytes.
 MAX_PAYLOAD = 1200
 
-#: The platform's bits of flags and their meaning.
+#: Flag bits in the platform's header and the flags they stand for.
 WIRE_FLAGS = {16: SYN, 2: ACK, 64: FIN, 8: RST}
 WIRE_RST = 8
 
-#: Flags by the byte in the header.
+#: Flags for each value of the header's flags byte.
 FLAGS = tuple(
     sum(flag for bit, flag in WIRE_FLAGS.items() if byte & bit) for byte in range(256)
 )
 
-#: What precedes a packet to a target: which incarnation it is meant for.
+#: Prefix of a packet to a target: the incarnation that the packet is meant for.
 INCARNATION = Struct(">Q")
 TOKEN = Struct(">I")
 
@@ -43,14 +44,16 @@
     Raises
     ------
     MalformedPacketError
-        If it is too short, or its length is not the one it names.
+        If the datagram is too short, or its length differs from the one in its header.
     """
     if len(data) < HEADER.size:
-        raise MalformedPacketError(f"a datagram of {len(data)} bytes holds no header")
+        raise MalformedPacketError(
+            f"a datagram of {len(data)} bytes is shorter than the header"
+        )
     seq, ack, flags, token, dport, _, _, dst, _, length = HEADER.unpack_from(data)
     if length > MAX_PAYLOAD or length != len(data) - HEADER.size:
         raise MalformedPacketError(
-            f"a packet of {len(data) - HEADER.size} bytes names {length}"
+            f"payload of {len(data) - HEADER.size} bytes, length field of {length}"
         )
     return Packet(
         data[FLOW_KEY],
@@ -67,11 +70,12 @@
 def encode_for_target(packet: Packet, incarnation: int, token: int) -> bytes:
     """Return the datagram that carries a packet to one incarnation of a target.
 
-    The token is written into openings; in later packets the caller has put it.
+    The token is written into openings; later packets already carry it because the
+    caller echoes it.
     """
     data = packet.data
     if packet.token == token:
-        # Nearly every packet: nothing has to be written into it.
+        # Nearly every packet already carries the token.
         return INCARNATION.pack(incarnation) + data
     head, tail = data[:TOKEN_OFFSET], data[TOKEN_OFFSET + TOKEN.size :]
     return INCARNATION.pack(incarnation) + head + TOKEN.pack(token) + tail
@@ -80,8 +84,8 @@
 def encode_reset(packet: Packet) -> bytes:
     """Return the reset that answers a caller's packet.
 
-    Its number must lie near what the caller acknowledged last; the checksum is 0,
-    which marks it as the system's own.
+    Its sequence number must be near the last one that the caller acknowledged. The
+    checksum is 0, which marks the reset as sent by the load balancer itself.
     """
     dport, sport, src, dst = FLOW_FIELDS.unpack(packet.data[FLOW_KEY])
     return HEADER.pack(packet.ack, 0, WIRE_RST, 0, sport, dport, dst, src, 0, 0)
--- a/citronspring/platform/settings.py
+++ b/citronspring/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process, as JSON."""
+"""The JSON settings file that the platform writes for each process."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 if TYPE_CHECKING:
     from typing import Any
 
-#: Variable that holds the path of the settings file.
+#: Environment variable with the path of the settings file.
 PATH_VARIABLE = "CITRONSPRING_BOOT"
 
-#: Seconds in a millisecond; the platform counts in milliseconds.
+#: Seconds in a millisecond; the platform gives times in milliseconds.
 MILLISECOND = 0.001
 
-#: Bounds for what changes beside the configuration: that a target leaves, and that a
-#: zone is to be emptied. One watch brings all of it, so that the tightest one counts.
+#: Optional time bounds for a target's shutdown and a zone's drain to take effect. Both
+#: arrive through the same watch as the configuration, so the shortest bound applies.
 OTHER_CHANGE_BOUNDS = ("drain_ms", "evacuate_ms")
 
-#: Bytes in a megabit, as links are measured.
+#: Bytes in a megabit; link rates are given in megabits per second.
 BYTES_PER_MEGABIT = 125_000
 
 
 def read_settings() -> HostSettings:
-    """Read the settings file that the environment names.
+    """Return the settings from the file that the environment variable names.
 
     Raises
     ------
     SettingsError
-        If it is missing or does not describe a host.
+        If the file is missing or invalid.
     """
     path = getenv(PATH_VARIABLE)
     if not path:
@@ -44,63 +44,65 @@
             text = file.read()
     except OSError as error:
         raise SettingsError(
-            f"the settings {path} cannot be read: {error.strerror}",
-            f"put the file there or correct {PATH_VARIABLE}",
+            f"the settings file {path} cannot be read: {error.strerror}",
+            f"create the file or correct {PATH_VARIABLE}",
         ) from error
     return decode_settings(text)
 
 
 def settings_version() -> int:
-    """Return a number that differs once the settings file has changed."""
+    """Return a number that changes whenever the settings file changes."""
     try:
         return stat(getenv(PATH_VARIABLE) or "").st_mtime_ns
     except OSError:
-        # Between two versions the file may be missing; the next look finds it.
+        # The file may be missing while it is replaced; the next check finds it.
         return 0
 
 
 def decode_settings(text: str) -> HostSettings:
-    """Translate the text of a settings file.
+    """Return the settings in the text of a settings file.
 
     Raises
     ------
     SettingsError
-        Names the field, its value and what is expected.
+        Gives the field, its value and what is expected.
     """
     try:
         table = loads(text)
     except ValueError as error:
         raise SettingsError(
-            f"the settings are no JSON: {error}", "mend the line that is named"
+            f"the settings are not valid JSON: {error}", "correct the reported line"
         ) from error
     if not isinstance(table, dict):
-        raise SettingsError("the settings are no object", "write fields in braces")
+        raise SettingsError(
+            "the settings are not a JSON object", "enclose the fields in braces"
+        )
     bounds = section(table, "bounds")
     addresses = section(table, "listen_addrs")
     return HostSettings(
         host_id=text_field(table, "node_name"),
         zone=text_field(table, "zone"),
         packets=endpoint_field(addresses, "datagram_addr"),
-        # Answers the routers' question whether the host may get flows.
+        # The routers ask this address whether the host may receive flows.
         readiness=endpoint_field(addresses, "ready"),
-        # The platform keeps this address for calls between a system's own hosts.
+        # The platform reserves this address for calls between the system's own hosts.
         peer_endpoint=endpoint_field(addresses, "control"),
         messages=message_endpoint(table),
         peers=peer_endpoints(table),
         store=endpoint_field(section(table, "platform"), "addr"),
         link_rate=limit_field(table, "link_mbps", 1000.0) * BYTES_PER_MEGABIT,
         processor_share=limit_field(table, "cpu_share", 1.0),
-        # How soon whatever operators change must be in force.
+        # Time within which an operator's change must take effect.
         change_bound=tightest_change_bound(bounds),
-        # How long after a trouble that must hold again.
+        # Time after a disturbance from which the bound must hold again.
         settling_time=positive_field(bounds, "stable_window_ms") * MILLISECOND,
-        # From the signal to stop until the process is killed.
+        # Time from the stop signal until the process is killed.
         stop_grace=positive_field(bounds, "grace_s"),
     )
 
 
 def section(table: dict[str, Any], name: str) -> dict[str, Any]:
-    """Return a table within the settings."""
+    """Return a table in the settings."""
     value = table.get(name)
     if not isinstance(value, dict):
         raise invalid_field(name, value, "a table")
@@ -108,23 +110,23 @@
 
 
 def text_field(table: dict[str, Any], name: str) -> str:
-    """Return a field that holds text."""
+    """Return a field that holds a non-empty string."""
     value = table.get(name)
     if not isinstance(value, str) or not value:
-        raise invalid_field(name, value, "text that is not empty")
+        raise invalid_field(name, value, "a non-empty string")
     return value
 
 
 def positive_field(table: dict[str, Any], name: str) -> float:
-    """Return a field that holds a number above zero."""
+    """Return a field that holds a positive number."""
     value = table.get(name)
     if isinstance(value, bool) or not isinstance(value, int | float) or value <= 0:
-        raise invalid_field(name, value, "a number above 0")
+        raise invalid_field(name, value, "a number greater than 0")
     return float(value)
 
 
 def limit_field(table: dict[str, Any], name: str, default: float) -> float:
-    """Return a limit of this host; the default where none is set."""
+    """Return a limit of this host, or the default if it is not set."""
     limits = table.get("limits")
     if not isinstance(limits, dict) or name not in limits:
         return default
@@ -132,7 +134,7 @@
 
 
 def tightest_change_bound(bounds: dict[str, Any]) -> float:
-    """Return the seconds within which changes of every kind are in force."""
+    """Return the seconds within which changes of every kind must take effect."""
     others = [name for name in OTHER_CHANGE_BOUNDS if name in bounds]
     names = ["config_apply_ms", *others]
     return min(positive_field(bounds, name) for name in names) * MILLISECOND
@@ -150,9 +152,9 @@
 
 
 def message_endpoint(table: dict[str, Any]) -> Endpoint:
-    """Return the first of the ports that a system's own hosts may use freely.
+    """Return the endpoint for datagrams between hosts, at the first internal port.
 
-    Where none is named, that of copies: those come by connections, not datagrams.
+    Without internal ports it shares the port of the peer endpoint, which is TCP only.
     """
     copies = endpoint_field(section(table, "listen_addrs"), "control")
     ports = table.get("internal_ports")
@@ -167,7 +169,7 @@
 
 
 def peer_endpoints(table: dict[str, Any]) -> tuple[Endpoint, ...]:
-    """Return the addresses of other hosts, without this host's own."""
+    """Return the addresses of the other hosts, without this host's own."""
     seeds = table.get("seeds", [])
     own = section(table, "listen_addrs").get("control")
     if not isinstance(seeds, list):
@@ -179,6 +181,6 @@
 
 
 def invalid_field(name: str, value: object, expected: str) -> SettingsError:
-    """Return the error of a field that holds something else."""
+    """Return the error for a field with an invalid value."""
     shown = "nothing" if value is None else repr(value)
     return SettingsError(f"{name} holds {shown}", f"give {expected}")
--- a/citronspring/platform/store.py
+++ b/citronspring/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store and its answers."""
+"""Requests to the platform's store, and decoding of its answers."""
 
 from __future__ import annotations
 
@@ -42,22 +42,22 @@
 
     from citronspring.tokens.entries import Change, Entry
 
-#: Keys that a host follows: all of them, as one watch costs less than two.
+#: Prefix of the keys that a host watches: all keys, as one watch costs less than two.
 WATCHED_PREFIX = ""
 
-#: Counts how often the store has come back from an older copy; in all answers.
+#: Header in every answer that counts how often the store was restored from a backup.
 EPOCH_HEADER = b"store-era"
 
-#: Headers of an answer that has none.
+#: Default for an answer without headers.
 NO_HEADERS: Mapping[bytes, bytes] = {}
 
-#: Answers of the store.
+#: HTTP status codes of the store's answers.
 OK = 200
 HISTORY_GONE = 410
 
 
 def encode_call(call: ListEntries | WatchEntries) -> HttpRequest:
-    """Return the request of a read."""
+    """Return the HTTP request of a list or watch call."""
     match call:
         case ListEntries():
             path = f"/api/kv-range?prefix={WATCHED_PREFIX}"
@@ -73,8 +73,9 @@
 
 
 def quote_key(key: str) -> str:
-    """Return a key as it stands in a query."""
-    # Imported for the second page of a list; at start it would hold up the first.
+    """Return a key quoted for a query string."""
+    # Only the second page of a list needs this; imported at start, it would delay the
+    # first.
     from urllib.parse import quote
 
     return quote(key, safe="")
@@ -86,7 +87,7 @@
     body: bytes,
     headers: Mapping[bytes, bytes] = NO_HEADERS,
 ) -> StoreAnswer:
-    """Translate the answer to a read."""
+    """Return the decoded answer to a list or watch call."""
     if status not in (OK, HISTORY_GONE):
         return Refused(status)
     try:
@@ -100,22 +101,22 @@
             case WatchEntries():
                 return decode_changes(found, epoch)
     except DECODE_ERRORS as error:
-        return Unanswered(f"an answer that cannot be read: {error!r}")
+        return Unanswered(f"the answer cannot be decoded: {error!r}")
 
 
 def decode_epoch(headers: Mapping[bytes, bytes]) -> int:
-    """Return how often the store had come back from an older copy.
+    """Return how often the store had been restored from a backup.
 
     Raises
     ------
     ValueError
-        If the header is no number.
+        If the header is not a number.
     """
     return int(headers.get(EPOCH_HEADER, b"0"))
 
 
 def decode_page(body: dict[str, Any], epoch: int) -> Page:
-    """Translate one page of a range."""
+    """Return the decoded page of a list."""
     entries: list[Entry] = []
     for item in body["items"]:
         entry = decode_item(item, epoch)
@@ -127,7 +128,7 @@
 
 
 def decode_changes(body: dict[str, Any], epoch: int) -> Changes:
-    """Translate the events of a watch."""
+    """Return the decoded events of a watch."""
     changes: list[Change] = []
     revision = None
     for event in body["events"]:
@@ -144,7 +145,7 @@
 
 
 def decode_removal(key: str, revision: int) -> Change | None:
-    """Translate the removal of a key; None if it is nothing to a host."""
+    """Return the removal of an entry; None for a key that a host does not use."""
     if key.startswith(DRAIN_PREFIX):
         return decode_drain(key, revision, ended=True)
     if key.startswith(TARGET_PREFIX):
@@ -155,7 +156,7 @@
 
 
 def decode_item(item: dict[str, Any], epoch: int) -> Entry | None:
-    """Translate an item; one that cannot be read is named with the reason."""
+    """Return the decoded entry; for an invalid one, its name and the reason."""
     key, revision = item["key"], ordered_revision(epoch, int(item["revision"]))
     if key.startswith(DRAIN_PREFIX):
         return decode_drain(key, revision, ended=False)
@@ -169,13 +170,13 @@
 
 
 def decode_drain(key: str, revision: int, *, ended: bool) -> ZoneDrain | None:
-    """Translate that a zone is to be emptied, or may be used again."""
+    """Return the start or end of the drain of a zone; None if the key names no zone."""
     zone = key.removeprefix(DRAIN_PREFIX)
     return ZoneDrain(zone, revision, ended) if zone else None
 
 
 def decode_start_leniently(value: bytes) -> int | None:
-    """Return which start of a target an unreadable value names, None for none."""
+    """Return the start time in an invalid target entry, None if it is unreadable."""
     try:
         return decode_start(parse_object(value))
     except StoredValueError:
--- a/tests/test_platform/process.py
+++ b/tests/test_platform/process.py
@@ -1,4 +1,4 @@
-"""A host process with its store, one target and a caller, for tests of the program."""
+"""A host process with a store, one target and a caller, for tests of the program."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from soak.store import StoreStandIn
 from tests.test_platform.test_store import CONFIGURATION, TARGET
 
-#: Longest wait for something that happens within a second.
+#: Timeout in seconds for events that usually happen within a second.
 TIMEOUT = 20.0
 
 SYN, ACK = 16, 2
 PACKETS, READINESS, COPIES = 7700, 7701, 7702
 
-#: Calls that read the store.
+#: Paths of calls that read the store.
 READS = ("/api/kv-range", "/api/kv-watch")
 
-#: Last numbers of the hosts' addresses, one for each.
+#: Last octets of the hosts' addresses, one per host.
 NUMBERS = itertools.count(20)
 
 CALLER = ("127.0.0.1", 40001)
@@ -51,18 +51,18 @@
 
 
 def eventually(check):
-    """Wait until a check returns something true, and return that."""
+    """Wait until a check returns something true, and return it."""
     deadline = time.monotonic() + TIMEOUT
     while time.monotonic() < deadline:
         found = check()
         if found:
             return found
         time.sleep(0.01)
-    raise AssertionError("it did not happen in time")
+    raise AssertionError("the condition was not met in time")
 
 
 class Host:
-    """A host process with its store, one target and a caller's socket."""
+    """A host process with a store, one target and a caller's socket."""
 
     def __init__(self, folder):
         self.store = StoreStandIn()
@@ -104,7 +104,8 @@
 
     def start(self, store_port):
         self.write_settings(store_port)
-        # A handle of its own: reading through it would move where the host writes.
+        # A separate handle: reading through the same one would move the host's write
+        # position.
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "citronspring.platform"],
@@ -132,7 +133,7 @@
         self.caller.sendto(data, (self.ip, PACKETS))
 
     def lines(self):
-        """Return the whole lines of the log so far."""
+        """Return the complete lines of the log so far."""
         text = self.log.read_text()
         return [
             json.loads(line) for line in text.splitlines(keepends=True) if "\n" in line
--- a/tests/test_platform/test_leases.py
+++ b/tests/test_platform/test_leases.py
@@ -1,4 +1,4 @@
-"""Calls for leases and for the registration of a zone's reader, and their answers."""
+"""Calls for leases and for the registration of a zone reader, and their answers."""
 
 from __future__ import annotations
 
@@ -79,13 +79,13 @@
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b"{}", b'{"lease": "x", "ttl_ms": 1}', b"\xff"]
 )
-def test_broken_grant_is_no_answer(body):
+def test_invalid_grant_counts_as_unanswered(body):
     answer = decode_election_answer(GrantLease(4.0), 200, body)
     assert isinstance(answer, Unanswered)
 
 
 @pytest.mark.parametrize("value", [b"[]", b"{}", b'{"host": "a", "at": "b"}'])
-def test_broken_registration_is_named(value):
+def test_invalid_registration_is_reported(value):
     with pytest.raises(StoredValueError):
         decode_entry("readers/north", value, 412)
 
--- a/tests/test_platform/test_names.py
+++ b/tests/test_platform/test_names.py
@@ -7,7 +7,7 @@
 
 PACKAGE = Path(__file__).resolve().parents[2] / "citronspring"
 
-#: Fields, paths, keys, headers and words that only the platform's pages use.
+#: Fields, paths, keys, headers and words that are specific to the platform.
 NAMES = re.compile(
     r"kv-(key|range|watch|txn|lease|keep)|/api/|op/config|op/evacuate|servers/|datagram_addr"
     r"|listen_addrs|node_name|heartbeat_ms|warmup_left_ms|forwarding_mode|flow_hash"
--- a/tests/test_platform/test_packets.py
+++ b/tests/test_platform/test_packets.py
@@ -1,4 +1,4 @@
-"""The platform's datagram format, both ways."""
+"""Encoding and decoding of the platform's datagram format."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     assert encode_reset(decode_packet(OPENING)) == RESET
 
 
-def test_reset_of_a_later_packet_stands_at_what_the_caller_expects():
+def test_reset_has_the_sequence_number_that_the_caller_expects():
     data = OPENING[:4] + struct.pack(">I", 777) + bytes([2]) + OPENING[9:]
     assert struct.unpack(">I", encode_reset(decode_packet(data))[:4]) == (777,)
 
--- a/tests/test_platform/test_process.py
+++ b/tests/test_platform/test_process.py
@@ -63,14 +63,14 @@
 
 
 def test_is_ready_only_once_it_knows_a_configuration(host):
-    """A host starts before the operators have written anything."""
+    """A host starts before operators have written a configuration."""
     assert eventually(host.status) == 503
     host.configure()
     assert eventually(lambda: host.status() == 200)
 
 
 def test_starts_while_the_store_refuses_it(host):
-    """The store turns a starting host away, then serves it: it becomes ready."""
+    """The store refuses a starting host, then serves it; the host becomes ready."""
     host.store.refusal = 503
     host.configure()
     assert eventually(lambda: len(host.store.calls) > 3)
@@ -93,8 +93,8 @@
     assert 'kind="dropped malformed"' in serving.get("/metrics")[1]
 
 
-def test_stops_in_order(serving):
-    """An operator stops a host: unready first, forwarding on, then exit 0."""
+def test_shuts_down_in_order(serving):
+    """A stopped host reports unready, keeps forwarding, then exits with 0."""
     serving.process.send_signal(signal.SIGTERM)
     eventually(lambda: serving.status() == 503)
     serving.send(packet(SYN))
@@ -106,11 +106,11 @@
 
 
 def test_opening_that_waited_through_a_pause_is_dropped(serving):
-    """A host stands still with an opening in its socket, then goes on.
+    """A host stalls with openings in its socket, then continues.
 
-    The caller has sent copies since, through another host. The wait for events ends
-    empty-handed after the pause; did that count as all having been read, the opening
-    would be placed, a second target answer, and the caller's packets stray to it.
+    The caller has meanwhile retransmitted through another host. The wait for events
+    returns none after the stall. If the socket then counted as read, the opening would
+    be placed, a second target would answer, and the caller's packets could reach it.
     """
     serving.process.send_signal(signal.SIGSTOP)
     for seq in range(5):
@@ -167,7 +167,7 @@
 
 @pytest.fixture
 def second(serving, tmp_path):
-    """Another host of the same zone, at the same store."""
+    """Another host of the same zone, with the same store."""
     folder = tmp_path / "second"
     folder.mkdir()
     other = Host(folder)
@@ -184,10 +184,10 @@
 
 
 def reader_and_follower(serving, second):
-    """Return the host that reads for the zone, and the one that follows it.
+    """Return the zone reader and its follower.
 
-    Beside load the first reader may lose the store, and its lease to the other: whom a
-    host says it follows counts, not who was registered first.
+    Under load the first reader may lose the store and its lease. The result therefore
+    depends on whom a host logs that it follows, not on who registered first.
     """
     found = eventually(lambda: serving.logged("following") + second.logged("following"))
     newest = max(found, key=lambda line: line["time"])
@@ -198,9 +198,10 @@
 
 
 def test_one_host_of_a_zone_reads_for_the_other(serving, second):
-    """Two hosts of a zone agree on a reader; a change reaches the other through it.
+    """Two hosts of a zone elect a reader; a change reaches the other one through it.
 
-    The reader is killed: the other one reads the store at once, and then for itself.
+    After the reader is killed, the other one reads the store at once and takes the
+    lease.
     """
     reader, follower = reader_and_follower(serving, second)
     serving.store.put("op/config", {**CONFIGURATION, "version": 9})
@@ -212,13 +213,13 @@
     eventually(lambda: follower.logged("lease-taken"))
 
 
-def test_reports_make_the_reader_ask_and_other_datagrams_harm_nothing(serving, second):
-    """Other hosts report a target, and the reader of the zone asks about it.
+def test_reports_start_an_inquiry_and_invalid_datagrams_are_harmless(serving, second):
+    """Other hosts report a target, and the zone reader starts an inquiry about it.
 
-    Datagrams that are no messages of hosts are counted, and the host serves on.
+    Invalid datagrams are counted, and the host continues to serve.
     """
     reader, _ = reader_and_follower(serving, second)
-    # The requests must be younger than what is known of their target.
+    # The reported requests must be newer than the last known answer of the target.
     time.sleep(0.4)
     incarnation = int("2ea29917b4", 16)
     suspicion = [incarnation, 0.2]
@@ -235,8 +236,8 @@
     assert reader.status() == 200
 
 
-def test_leaving_reader_gives_its_zone_to_another(serving, second):
-    """An operator stops the reader of a zone: the other is registered at once."""
+def test_stopped_reader_hands_over_its_zone(serving, second):
+    """An operator stops the zone reader; the other host registers at once."""
     reader, follower = reader_and_follower(serving, second)
     reader.process.send_signal(signal.SIGTERM)
     eventually(lambda: follower.logged("lease-taken"))
@@ -256,8 +257,8 @@
     assert "host-1" in done.stdout
 
 
-def test_host_that_starts_without_the_store_takes_a_copy_of_a_peer(serving, tmp_path):
-    """The store is away and one host restarts: it serves by what a peer knows."""
+def test_host_without_the_store_starts_from_a_peer_snapshot(serving, tmp_path):
+    """The store is unreachable at a restart; the host uses a peer snapshot."""
     folder = tmp_path / "other"
     folder.mkdir()
     other = Host(folder)
@@ -276,11 +277,11 @@
         other.caller.close()
 
 
-def test_configuration_that_comes_in_slowly_is_taken_in_at_the_first_try(serving):
-    """A configuration of 400 KB comes in over four seconds; the store is well.
+def test_slow_configuration_is_read_at_the_first_attempt(serving):
+    """A configuration of 400 KB arrives over four seconds from a healthy store.
 
-    The host gave its call up after 2.75 s at most and asked for all of it again,
-    for as long as the link was slow.
+    With a timeout on the whole call the host gave up after at most 2.75 s and requested
+    all of it again, as long as the link was slow.
     """
     serving.store.rate = 90_000.0
     idle = [
@@ -304,5 +305,5 @@
 
 
 def test_start_lists_the_store_once(serving):
-    """The list that was asked for before the imports is the first one that counts."""
+    """The prefetched list is used; the host does not request it again."""
     assert serving.store.calls.count(READS[0]) == 1
--- a/tests/test_platform/test_settings.py
+++ b/tests/test_platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that the platform writes: read as pages say, refused with a remedy."""
+"""The platform's settings: valid ones are read, invalid ones refused with a remedy."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def changed(path, value):
-    """Return the text of good settings with one field changed; None removes it."""
+    """Return the text of valid settings with one field changed; None removes it."""
     table = json.loads(json.dumps(GOOD))
     *sections, name = path.split(".")
     inner = table
@@ -50,7 +50,7 @@
 
 
 def test_missing_host_limits_take_large_defaults():
-    """A host without limits in its settings starts all the same."""
+    """A host without limits in its settings starts with the defaults."""
     settings = decode_settings(json.dumps(GOOD))
     assert (settings.processor_share, settings.link_rate) == (1.0, 125_000_000.0)
     limits = {"cpu_share": 0.163, "link_mbps": 5.0}
@@ -60,9 +60,9 @@
 
 @pytest.mark.parametrize("name", ["drain_ms", "evacuate_ms"])
 def test_tightest_bound_of_a_change_counts(name):
-    """A zone is to be emptied sooner than a configuration is to be in force.
+    """The bound for draining a zone is shorter than that for a configuration.
 
-    Read as late as the other bound allows, it would still be given flows.
+    With the longer bound, a drained zone would receive flows for too long.
     """
     settings = decode_settings(changed(f"bounds.{name}", 2000))
     assert settings.change_bound == 2.0
--- a/tests/test_platform/test_start.py
+++ b/tests/test_platform/test_start.py
@@ -1,4 +1,4 @@
-"""A host that was killed serves again soon: what its start costs."""
+"""The cost of starting a host, which delays serving after a crash."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
     "urllib.parse",
 )
 
-#: Modules imported at start, at most: 43 of the interpreter's own and 47 of ours.
+#: Limit on modules imported at start: 43 of the interpreter's own and 47 of ours.
 MAX_MODULES = 90
 
-#: What a start imports.
+#: Imports of a start.
 IMPORT_HOST = "import citronspring.platform.__main__, citronspring.daemons.token_host"
 
-#: Times the processor time of a bare interpreter that imports asyncio: that takes
-#: some 77 ms, and a start may take 30 ms.
+#: Limit on the processor time of the imports, relative to an interpreter that imports
+#: asyncio: that takes some 77 ms, and a start may take 30 ms.
 MAX_SHARE_OF_ASYNCIO = 0.5
 
 
@@ -61,7 +61,7 @@
 
 
 def cpu_seconds(code, cache):
-    """Return the processor time of a run, in seconds."""
+    """Return the processor time of a run in seconds."""
     before = resource.getrusage(resource.RUSAGE_CHILDREN)
     run(code, cache)
     after = resource.getrusage(resource.RUSAGE_CHILDREN)
@@ -69,10 +69,10 @@
 
 
 def least_cpu_seconds(codes, cache):
-    """Return the least processor time of some runs of each code, in seconds.
+    """Return the shortest processor time of several runs of each code, in seconds.
 
-    Run in turn, so that a machine that gets busy is as slow for all of them. Compiled
-    once before: on the platform the build does that.
+    The codes run alternately, so that other load on the machine slows all of them. They
+    are compiled once before, as the build does on the platform.
     """
     for code in codes:
         run(code, cache)
@@ -81,10 +81,10 @@
 
 
 def test_imports_no_heavy_module(tmp_path):
-    """All hosts lose power; each serves again only after its imports.
+    """After a power failure of all hosts, each serves only after its imports.
 
-    On a quarter of a core, 25 ms of imports more are 100 ms in which every caller
-    waits. The modules named here would double the start.
+    On a quarter of a core, 25 ms more of imports delay every caller by 100 ms. The
+    modules listed here would double the time of a start.
     """
     output = run(f"{IMPORT_HOST}; print(*sys.modules)", tmp_path)
     modules = set(output.split())
@@ -92,19 +92,19 @@
     assert len(modules) <= MAX_MODULES
 
 
-def test_costs_half_of_importing_an_event_loop(tmp_path):
-    """All hosts lose power, and callers wait for 0.45 s after it is back.
+def test_start_costs_at_most_half_of_importing_asyncio(tmp_path):
+    """After a power failure of all hosts, callers wait another 0.45 s.
 
-    A host with 0.163 of a core spends 73 ms of processor until the first line of its
-    log; one with 0.717 starts 0.4 s sooner. Routers send to it meanwhile, since nobody
-    else is there. Compared in the same run with an interpreter that imports asyncio
-    alone: half of that is what a start may take.
+    A host with 0.163 of a core uses 73 ms of processor time until the first line of its
+    log; one with 0.717 starts 0.4 s sooner. Routers send packets meanwhile because no
+    other host is up. A start may take half of the time that an interpreter needs to
+    import asyncio, measured in the same run.
     """
     host, loop = least_cpu_seconds((IMPORT_HOST, "import asyncio"), tmp_path)
     assert host <= MAX_SHARE_OF_ASYNCIO * loop
 
 
-def test_launcher_serves_as_the_module_does(tmp_path):
+def test_launcher_behaves_like_the_module(tmp_path):
     settings = tmp_path / "settings"
     settings.write_text("{}")
     done = subprocess.run(
@@ -119,7 +119,7 @@
 
 
 class Build:
-    """A copy of what a host is started from, built as the platform builds it."""
+    """A copy of the files that a host starts from, built as on the platform."""
 
     def __init__(self, root):
         self.root = root
@@ -141,7 +141,7 @@
         )
 
     def loaders(self):
-        """Return which modules of ours come from the bundle, of those imported."""
+        """Return the imported modules of the package that come from the bundle."""
         code = (
             "import sys; sys.path[0] = ''; "
             "from citronspring.bundles import install_bundle; "
@@ -168,10 +168,10 @@
     assert len(names) > 40
 
 
-def test_source_that_changed_after_the_build_counts(build):
-    """Somebody mends a module and restarts the host without a build.
+def test_source_changed_after_the_build_is_used(build):
+    """A module is fixed and the host restarted without a build.
 
-    The bundle still holds the fault; run from there, the host would show it again.
+    The bundle still contains the faulty module and must not be used for it.
     """
     source = build.root / "citronspring/tcp_flags.py"
     source.write_text(source.read_text() + "\nMENDED = True\n")
--- a/tests/test_platform/test_store.py
+++ b/tests/test_platform/test_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store, and answers of every kind, also broken ones."""
+"""Calls to the platform's store, and valid and malformed answers of every kind."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     "warmup_left_ms": 1500,
     "seq": 4,
 }
-#: Answers that are broken in one way each.
+#: Answers, each malformed in a different way.
 BODIES = [
     b"",
     b"[]",
@@ -142,7 +142,7 @@
 
 
 def test_unreadable_entry_tells_its_start_where_that_can_be_read():
-    """Another program writes over an entry; the target has started again since."""
+    """Another program overwrites an entry after the target has restarted."""
     broken = {**TARGET, "born": 1764720000000, "state": "parked"}
     assert only_entry(page(item("servers/i-1", broken))).started == 1764720000000
 
@@ -159,7 +159,7 @@
     )
 )
 def test_foreign_json_under_a_target_key_does_not_hide_other_entries(value):
-    """Some program writes any JSON at all under a target's key."""
+    """Another program writes arbitrary JSON under a target's key."""
     answer = page(item("servers/i-1", value), item("servers/i-2", TARGET))
     assert answer.entries[-1].target_id == "i-2"
     if isinstance(answer.entries[0], Target):
@@ -185,7 +185,7 @@
     assert entry.leaving
 
 
-def test_foreign_keys_are_passed_over():
+def test_unknown_keys_are_ignored():
     answer = page(item("status/host-1", {"x": 1}))
     assert isinstance(answer, Page)
     assert answer.entries == ()
@@ -229,10 +229,10 @@
         ("servers/i-11112222333344445", TARGET),
     ],
 )
-def test_entry_that_cannot_be_read_is_named_and_the_others_count(key, value):
-    """An operator or a target writes something unexpected.
+def test_invalid_entry_is_named_and_the_others_are_kept(key, value):
+    """An operator or a target writes an invalid value.
 
-    The process must neither end nor lose the entries beside it.
+    The process must neither crash nor lose the entries beside it.
     """
     answer = page(item(key, value), item("servers/i-2", TARGET))
     unreadable, good = answer.entries
@@ -260,22 +260,22 @@
     assert answer.revision == 414
 
 
-def test_answer_without_news_names_no_revision():
+def test_answer_without_changes_has_no_revision():
     assert watch().revision is None
 
 
 @pytest.mark.parametrize("status", [429, 500, 503, 404, 301])
-def test_refusals_are_told_by_their_status(status):
+def test_refusal_carries_its_status(status):
     assert decode_answer(WATCH, status, b"") == Refused(status)
 
 
-def test_lost_history_is_told():
+def test_lost_history_is_reported():
     assert isinstance(decode_answer(WATCH, 410, b"{}"), HistoryLost)
 
 
 @pytest.mark.parametrize("call", [LIST, WATCH])
 @pytest.mark.parametrize("body", BODIES)
-def test_body_that_makes_no_sense_is_no_answer(call, body):
+def test_invalid_body_counts_as_unanswered(call, body):
     assert isinstance(decode_answer(call, 200, body), Unanswered)
 
 
@@ -300,8 +300,8 @@
     assert isinstance(answer, Page | Changes | Unanswered)
 
 
-def test_request_to_empty_a_zone_is_a_drain():
-    """Its value says nothing; whatever stands there, the zone is to get nothing."""
+def test_evacuation_entry_is_a_drain():
+    """The zone is drained whatever the value is."""
     entries = page(item("op/evacuate/north", {}, 12)).entries
     assert entries == (ZoneDrain("north", 12),)
 
@@ -321,13 +321,13 @@
     assert answer.changes == (ZoneDrain("north", 13, ended=True),)
 
 
-def test_drain_of_no_zone_is_nothing():
+def test_drain_without_a_zone_is_ignored():
     assert page(item("op/evacuate/", {}, 12)).entries == ()
 
 
 @pytest.mark.parametrize("epoch", [b"", b"x", b"-1"])
-def test_answer_whose_epoch_cannot_be_read_is_none(epoch):
-    """Taken for the first epoch, everything in it would count as old."""
+def test_answer_with_an_invalid_epoch_counts_as_unanswered(epoch):
+    """With a default of the first epoch, all entries of the answer would be old."""
     body = b'{"items": [], "has_more": false, "store_revision": 1}'
     answer = decode_answer(LIST, 200, body, {b"store-era": epoch})
     assert isinstance(answer, Unanswered)
--- a/tests/test_platform/test_store_restore.py
+++ b/tests/test_platform/test_store_restore.py
@@ -1,4 +1,4 @@
-"""The store comes back from an older copy; its revisions are given out again."""
+"""The store is restored from a backup and reuses revisions."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 STAYING = "i-2ea29917b5"
 STARTED = ("i-2ea29917b6", "i-2ea29917b7", "i-2ea29917b8")
 
-#: Calls within which a host has heard of a change: a watch that fails, a list, a watch.
+#: Calls within which a host learns of a change: a failed watch, a list and a watch.
 CALLS_TO_CONVERGE = 4
 
 
 class Store(StoreStandIn):
-    """A store in which a watch without news is answered at once."""
+    """A store in which a watch without changes is answered at once."""
 
     def watch(self, after, wait):
         return super().watch(after, 0.0)
@@ -52,7 +52,7 @@
         return self.core.tables
 
     def run(self, calls):
-        """Make some calls to the store."""
+        """Make the given number of calls to the store."""
         for _ in range(calls):
             self.now = max(self.now, self.tables.reader.call_at) + 0.01
             call = self.core.next_call(self.now)
@@ -72,7 +72,7 @@
         self.core.handle_store_answer(call, answer, self.now, self.now)
 
     def follow(self, reader):
-        """Ask the zone's reader for news, and the store if that is of no use."""
+        """Poll the zone reader's change feed, and the store if that fails."""
         after = self.tables.reader.revision
         poll = FeedPoll(after, reader.now, reader.now)
         call = FollowReader(Endpoint("10.1.0.9", 8166), after, 0.0)
@@ -86,12 +86,12 @@
         return self.tables.targets[LEAVING].target.leaving
 
     def wait(self, seconds):
-        """Let time pass."""
+        """Advance the time."""
         self.now += seconds
         self.core.tick(self.now)
 
     def usable(self):
-        """Return the ids of the targets that get new flows."""
+        """Return the ids of the targets that receive new flows."""
         rows = self.tables.by_service.get(TARGET["service"], [])
         return {row.target.target_id for row in rows if not row.target.leaving}
 
@@ -112,7 +112,7 @@
 
 
 def backup_before(store, *versions):
-    """Have configurations written, and the store come back from before them."""
+    """Return a backup made before the given configurations are written."""
     copy = store.copy()
     for version in versions:
         store.configure(version)
@@ -120,7 +120,7 @@
 
 
 def test_followers_learn_of_a_leaving_target_after_a_store_restore(store):
-    """A target says that it leaves, and two thirds of the hosts go on using it."""
+    """After a restore, two thirds of the hosts kept using a leaving target."""
     reader, follower = start(store, "host-1"), start(store, "host-2")
     copy = backup_before(store, 12, 14, 16)
     reader.run(1)
@@ -136,9 +136,9 @@
 
 
 def test_change_with_a_reused_revision_is_applied(store):
-    """A configuration is accepted at the revision that hosts have read up to.
+    """A configuration is written at a revision that hosts had already read.
 
-    They wait for what is above it, and go on with the old one.
+    They watched for later revisions only, and kept the old configuration.
     """
     host = start(store)
     copy = backup_before(store, 12)
@@ -150,8 +150,8 @@
     assert host.tables.configuration == 14
 
 
-def test_disconnected_host_learns_of_changes_rewritten_below_its_revision(store):
-    """A host is cut off while the store goes back and passes its revision anew."""
+def test_partitioned_host_learns_of_changes_rewritten_below_its_revision(store):
+    """A host is partitioned until the restored store passes the host's revision."""
     host = start(store)
     copy = backup_before(store, 12)
     host.run(1)
@@ -165,7 +165,7 @@
 
 
 def test_restored_store_is_not_listed_repeatedly(store):
-    """Each host lists the store some twenty-five times a second, for seconds."""
+    """Each host listed the store some twenty-five times a second, for seconds."""
     host = start(store)
     copy = backup_before(store, 12, 14, 16)
     host.run(1)
@@ -176,7 +176,7 @@
 
 
 def host_after_target_loss(store):
-    """Return a host that knows targets which the store has lost with a copy."""
+    """Return a host that knows targets which the restored store lacks."""
     copy = store.copy()
     for name in STARTED:
         store.register(name)
@@ -189,10 +189,10 @@
 def test_targets_missing_from_the_backup_are_used_until_they_can_re_register(
     store,
 ):
-    """Most targets of a service start, and the store loses their entries.
+    """Most targets of a service start, and a restore loses their entries.
 
-    They live, and write them again within two seconds. Taken for gone until then, they
-    would leave the load of all to the others, or their service without a target.
+    They run, and register again within two seconds. If they counted as gone until then,
+    the other targets would get all the load, or the service would have no target.
     """
     host = host_after_target_loss(store)
     host.wait(2.0)
@@ -209,11 +209,12 @@
     assert host.usable() == {LEAVING, STAYING, STARTED[0]}
 
 
-def test_target_that_ended_while_a_host_was_cut_off_gets_no_flows(store):
-    """A target leaves and ends; the store comes back from a copy made after that.
+def test_target_that_ended_during_a_partition_gets_no_flows(store):
+    """A target leaves and ends; a backup made after that is restored.
 
-    A host that was cut off all the while lists it then. It kept the target for as long
-    as one that lives needs to write again: later than flows may be sent there.
+    A host that was partitioned meanwhile lists the store afterwards. It kept the target
+    for the time that a running one needs to register again, and so sent flows to it too
+    late.
     """
     for name in STARTED:
         store.register(name)
@@ -226,9 +227,9 @@
 
 
 def test_leaving_target_is_not_reused_when_the_backup_has_it_ready(store):
-    """A target says that it leaves; the store forgets that, and gives flows to it.
+    """A target is leaving; the restored store lists it as ready.
 
-    What it had said before is no news, though its entry has a newer revision.
+    The older entry of the target must be ignored although its revision is newer.
     """
     host = start(store)
     copy = store.copy()
@@ -241,7 +242,7 @@
 
 
 def test_restore_does_not_reset_the_warmup_of_a_target(store):
-    """A target has been warm for long; in the copy it has just started."""
+    """A target finished its warm-up long ago; in the backup it has just started."""
     store.register(STAYING, warmup_left_ms=1500, seq=4)
     host = start(store)
     host.wait(2.0)
@@ -254,7 +255,7 @@
 
 
 def test_entry_of_a_later_start_replaces_that_of_an_earlier_one(store):
-    """A new start counts its entries anew; its first one has a smaller number."""
+    """A new process numbers its entries from the start, so its sequence is smaller."""
     host = start(store)
     store.register(STAYING, seq=1, born=8, slots=2)
     copy = store.copy()
@@ -264,9 +265,9 @@
 
 
 def test_zone_stays_drained_when_the_backup_lacks_the_drain(store):
-    """Operators drain a zone; the store forgets it, and flows go there again.
+    """Operators drain a zone; the restored store lacks it, and flows went there again.
 
-    They write it again; a host cannot know how soon.
+    Operators repeat the drain, but a host cannot know when.
     """
     copy = store.copy()
     store.put("op/evacuate/south", {})
@@ -292,7 +293,7 @@
 
 
 def test_configuration_is_not_rolled_back_by_a_restore(store):
-    """A route is removed; the store comes back from before that."""
+    """A route is removed; the restored store still has it."""
     host = start(store)
     copy = backup_before(store, 12)
     host.run(1)
@@ -302,9 +303,9 @@
 
 
 def test_route_missing_from_the_backup_is_not_refused_until_it_can_be_rewritten(store):
-    """A route is added; the store comes back from before that, and a host starts.
+    """A route is added; the restored store lacks it, and a host starts.
 
-    It refused callers for certain, since the store had just told it everything.
+    The host refused callers because it treated the complete list as current.
     """
     host = start(store)
     copy = backup_before(store, 12)
@@ -318,10 +319,10 @@
 
 
 def test_second_restore_resets_the_time_until_a_missing_target_counts_as_gone(store):
-    """A store comes back from an older copy twice in three seconds.
+    """A store is restored from a backup twice within three seconds.
 
-    A target that had written its entry again is missing once more. Counted from the
-    first time, it was gone for good, and its flows were reset.
+    A target that had registered again is missing once more. With the time counted from
+    the first restore, it was declared gone, and its flows were reset.
     """
     copy = store.copy()
     store.register(STARTED[0])
@@ -339,10 +340,10 @@
 
 
 def test_follower_learns_of_a_configuration_its_reader_had_before_the_restore(store):
-    """The store goes back; a follower is started and reads an older configuration.
+    """After a restore, a new follower reads an older configuration.
 
-    Operators write theirs again. The reader has it, so it was no news there, and the
-    follower was told of none: it went on with the older one for good.
+    Operators write the newer one again. The zone reader already has it and reported no
+    change, so the follower kept the older one forever.
     """
     reader = start(store, "host-1")
     copy = backup_before(store, 12)
