--- a/citronspring/daemons/clocks.py
+++ b/citronspring/daemons/clocks.py
@@ -1,4 +1,4 @@
-"""The clock by which a host judges how old its knowledge is."""
+"""The clock by which a host measures the age of its state."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def boot_clock() -> float:
-    """Return seconds since the machine started, time spent suspended included.
+    """Return seconds since the machine booted, including time spent suspended.
 
-    A clock that stands still with the machine would hide that what the host knows
-    has become old.
+    A clock that stops while the machine is suspended would hide that the host's state
+    has become outdated.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/citronspring/daemons/control.py
+++ b/citronspring/daemons/control.py
@@ -1,4 +1,4 @@
-"""The control socket: sealed datagrams within the byte budget."""
+"""The control socket: signed datagrams, sent within a byte budget."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     from citronspring.messages import Action
     from citronspring.settings import ControlSection, Settings
 
-#: Key of hosts that all live on loopback, where settings need not give one.
+#: Default key for hosts that all run on loopback, where settings need not give one.
 LOOPBACK_KEY = bytes(MIN_KEY_BYTES)
 
 
@@ -43,20 +43,20 @@
 
 
 class ControlChannel:
-    """Seals and sends the core's control messages; opens those of others.
+    """Signs and sends the core's control messages; verifies those of other hosts.
 
     Parameters
     ----------
     core : Balancer
-        Decides.
+        Decision core.
     settings : Settings
-        Names the socket and the keys.
+        Endpoint of the socket, and the keys.
     boot_time : int
         Milliseconds since the epoch at which this process started.
     clock : callable
-        Returns seconds that never go back.
+        Monotonic clock in seconds.
     perform : callable
-        Does what the core asks for.
+        Executes actions of the core.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         clock: Callable[[], float],
         perform: Callable[[list[Action]], None],
     ) -> ControlChannel:
-        """Read the keys and bind the socket."""
+        """Return a channel with the keys read and the socket bound."""
         return cls(core, settings, boot_time, clock, perform)
 
     def close(self) -> None:
@@ -94,7 +94,7 @@
         self.socket.close()
 
     def receive(self, datagram: bytes, source: Source) -> None:
-        """Hand a genuine message to the core; count any other datagram."""
+        """Pass an authentic message to the core; count any other datagram."""
         try:
             opened = self.decoder.decode_datagram(datagram, wall_clock())
         except ControlMessageError as error:
@@ -104,7 +104,7 @@
         self.perform(self.core.receive(event, self.clock()))
 
     def send(self, action: SendControl) -> None:
-        """Send a message now, or once the budget allows it."""
+        """Send a message now, or as soon as the budget allows it."""
         try:
             datagram = self.encoder.encode_datagram(
                 action.message, action.host_id, wall_clock()
@@ -118,7 +118,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Send what the budget allows by now."""
+        """Send the queued messages that the budget allows now."""
         counters = self.core.tables.counters
         for outgoing in self.budget.dequeue(self.clock()):
             row = self.core.tables.hosts.get(outgoing.host_id)
@@ -132,7 +132,7 @@
 
 
 class Outgoing:
-    """A sealed datagram on its way to a host."""
+    """A signed datagram queued for a host."""
 
     __slots__ = ("datagram", "host_id", "urgency")
 
@@ -143,18 +143,18 @@
 
     @property
     def counter(self) -> str:
-        """Name of the counter of its bytes; copies to new hosts count apart."""
+        """Name of the counter of its bytes; snapshot transfers have their own."""
         bulk = self.urgency is Priority.BULK
         return "control.bulk_bytes_sent" if bulk else "control.bytes_sent"
 
 
 def read_keys(section: ControlSection) -> tuple[bytes, ...]:
-    """Return the key in use, and the previous one if given.
+    """Return the current key, and the previous one if configured.
 
     Raises
     ------
     SettingsError
-        When a key cannot be read or is too short.
+        If a key cannot be read or has an invalid length.
     """
     if not section.has_key:
         log(CONTROL_WITHOUT_KEY)
@@ -175,12 +175,12 @@
             text = Path(file).read_text("ascii")
         except (OSError, ValueError):
             message = f"{name}_file: {file} cannot be read"
-            raise SettingsError(message, "name a readable file") from None
+            raise SettingsError(message, "give a readable file") from None
     try:
         key = bytes.fromhex(text.strip())
     except ValueError:
         raise SettingsError(f"{name} is not hexadecimal", remedy) from None
-    # blake2b takes keys of at most 64 bytes.
+    # blake2b accepts keys of at most 64 bytes.
     if not MIN_KEY_BYTES <= len(key) <= 64:
         raise SettingsError(f"{name} has {len(key)} bytes", remedy)
     return key
--- a/citronspring/daemons/follower_server.py
+++ b/citronspring/daemons/follower_server.py
@@ -1,9 +1,13 @@
-"""Other hosts at the door: copies, and news that they wait for."""
+"""Server for other hosts: peer snapshots, and the change feed by long polls."""
 
 from __future__ import annotations
 
 from citronspring.daemons.http_server import HttpServer
-from citronspring.daemons.store_calls import COPY_PATH, MILLISECONDS, NEWS_PATH
+from citronspring.daemons.store_calls import (
+    CHANGE_FEED_PATH,
+    MILLISECONDS,
+    SNAPSHOT_PATH,
+)
 from citronspring.events import NEWS_REFUSED
 from citronspring.light_stdlib import TYPE_CHECKING
 from citronspring.tokens.change_feed import FeedPoll
@@ -17,28 +21,28 @@
     from citronspring.endpoints import Endpoint
     from citronspring.tokens.balancer import TokenBalancer
 
-#: What precedes the two numbers in the question for news, and their most digits.
-NEWS_PREFIX = f"{NEWS_PATH}?after="
+#: Prefixes of the two numbers in a poll's query, and the most digits of each.
+POLL_PREFIX = f"{CHANGE_FEED_PATH}?after="
 WAIT_PREFIX = "&wait="
 REVISION_DIGITS = 24
 WAIT_DIGITS = 6
 
-#: Connections of other hosts kept at once: the hosts of a zone, 310 at the size to
-#: design for, with room for as many that start anew.
+#: Limit on connections of other hosts: the hosts of a zone, 310 at the design size, and
+#: as many again that are restarting.
 MAX_FOLLOWERS = 700
 
 
 class FollowerServer:
-    """Answers other hosts, some of them only once there is news.
+    """Answers other hosts; polls are held until there are changes.
 
     Parameters
     ----------
     core : TokenBalancer
-        Knows what they ask for.
+        Decision core, which has the state they ask for.
     selector : Poller
-        Tells when sockets can be read.
+        Reports when sockets are ready.
     endpoint : Endpoint
-        Where other hosts ask.
+        Address to listen at.
     clock : callable
         Returns the time in seconds.
     write : callable
@@ -62,23 +66,26 @@
     def answer(
         self, path: str, connection: ServerConnection
     ) -> tuple[int, bytes] | None:
-        """Answer a request, or keep it until there is something to say."""
+        """Return the answer to a request, None if it is held as a long poll."""
         now = self.clock()
-        if path == COPY_PATH:
-            # Copies to all hosts that start at once would fill the link.
+        if path == SNAPSHOT_PATH:
+            # Peer snapshots to all hosts that start together would saturate the link.
             if self.server.sending:
-                return 503, b"another host is being answered\n"
+                return 503, b"a peer snapshot is being sent to another host\n"
             return self.core.snapshot(now)
         poll = read_poll(path, connection.host, now)
         if poll is None:
-            return 404, f"ask for {COPY_PATH} or {NEWS_PATH}\n".encode()
+            return (
+                404,
+                f"unknown path; use {SNAPSHOT_PATH} or {CHANGE_FEED_PATH}\n".encode(),
+            )
         answer = self.answer_poll(poll, now)
         if answer is None:
             self.polls[connection] = poll
         return answer
 
     def answer_poll(self, poll: FeedPoll, now: float) -> tuple[int, bytes] | None:
-        """Return the answer to a follower, None while there is nothing to say."""
+        """Return the answer to a poll, None while there are no changes."""
         answer = self.core.answer_poll(poll, now)
         if answer is not None and answer[0] != OK:
             fields: dict[str, object] = {
@@ -90,7 +97,7 @@
         return answer
 
     def run(self, now: float) -> None:
-        """Answer those that have waited for what is known now."""
+        """Answer the held polls for which there are changes now."""
         self.server.run(now)
         if not self.polls:
             return
@@ -105,14 +112,14 @@
 
 
 def read_poll(path: str, host: str, now: float) -> FeedPoll | None:
-    """Return what a follower asks for news by, None if the path is no such question."""
-    after, _, wait = path.removeprefix(NEWS_PREFIX).partition(WAIT_PREFIX)
+    """Return the poll that a path encodes, None if it is not a poll."""
+    after, _, wait = path.removeprefix(POLL_PREFIX).partition(WAIT_PREFIX)
     numbers = is_number(after, REVISION_DIGITS) and is_number(wait, WAIT_DIGITS)
-    if not (path.startswith(NEWS_PREFIX) and numbers):
+    if not (path.startswith(POLL_PREFIX) and numbers):
         return None
     return FeedPoll(int(after), now, now + int(wait) / MILLISECONDS, host)
 
 
 def is_number(text: str, digits: int) -> bool:
-    """Whether a text is a number of some digits at most, and nothing else."""
+    """Whether a text is a decimal number of at most the given digits."""
     return text.isascii() and text.isdigit() and len(text) <= digits
--- a/citronspring/daemons/host.py
+++ b/citronspring/daemons/host.py
@@ -1,4 +1,4 @@
-"""The process of an entry host: sockets, signals and time around the core."""
+"""The process of a host: sockets, signals and timers around the core."""
 
 from __future__ import annotations
 
@@ -41,31 +41,31 @@
 #: Seconds between two ticks of the core.
 TICK_INTERVAL = 0.05
 
-#: Seconds that a starting host waits for its configuration before it says that it
-#: serves all the same.
+#: Seconds that a starting host waits for its configuration before it reports that it
+#: serves without one.
 CONFIGURATION_TIMEOUT = 5.0
 
 
 def boot_clock() -> float:
-    """Return seconds since the machine started, time spent suspended included.
+    """Return seconds since the machine booted, including time spent suspended.
 
-    A clock that stands still with the machine would hide from the process that
-    it slept through changes.
+    A clock that stops while the machine is suspended would hide from the process that
+    it has missed changes.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class HostDaemon:
-    """One entry host.
+    """One host.
 
     Parameters
     ----------
     settings : Settings
-        Checked settings.
+        Validated settings.
     source : ConfigurationSource
-        Reads the configuration.
+        Source of the configuration.
     clock : callable
-        Seconds that never go back.
+        Monotonic clock in seconds.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         )
         self.reader = PlatformReader(self.core, source, clock, perform)
         self.prober = Prober(self.find_health_endpoint, self.handle_probe_result)
-        #: Highest revision that was announced as applied.
+        #: Highest revision announced as applied.
         self.revision = 0
         self.application.connect("action", self.handle_action)
         log_application(self.application)
@@ -103,19 +103,19 @@
     def from_settings(
         cls, settings: Settings, source: ConfigurationSource
     ) -> HostDaemon:
-        """Make the process that the settings describe."""
+        """Return the host that the settings describe."""
         return cls(settings, source)
 
     async def run(
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until the core says the host may stop."""
+        """Serve until the core reports that the host may stop."""
         with closing(self.packet_io), closing(self.control), closing(self.prober):
             await self.serve(task_status)
         self.application.emit("stopped")
 
     async def serve(self, task_status: TaskStatus[None]) -> None:
-        """Run every part of the host until it may stop."""
+        """Run all tasks of the host until it may stop."""
         async with anyio.create_task_group() as group:
             packet_io = self.packet_io
             begin = packet_io.begin_batch
@@ -138,7 +138,7 @@
             group.cancel_scope.cancel()
 
     async def wait_for_configuration(self) -> None:
-        """Wait for a first configuration, from a peer or the platform."""
+        """Wait for the first configuration, from a peer or the platform."""
         with anyio.move_on_after(CONFIGURATION_TIMEOUT) as scope:
             while self.core.tables.revision == 0 and not self.reader.answered.is_set():
                 await anyio.sleep(TICK_INTERVAL)
@@ -146,7 +146,7 @@
             log(NOT_CONFIGURED)
 
     async def tick_forever(self) -> None:
-        """Run the core's timed systems."""
+        """Run the core's timers forever."""
         while True:
             self.packet_io.perform(self.core.tick(self.clock()))
             self.control.flush()
@@ -155,13 +155,13 @@
             await anyio.sleep(TICK_INTERVAL)
 
     def announce_revision(self) -> None:
-        """Tell listeners of a revision that has come in force."""
+        """Emit ``revision-applied`` once a new revision takes effect."""
         if self.core.tables.revision > self.revision:
             self.revision = self.core.tables.revision
             self.application.emit("revision-applied", self.revision)
 
     def handle_action(self, action: Action) -> None:
-        """Do what the core asks for beside packets."""
+        """Execute the core's actions other than packets."""
         match action:
             case SendControl():
                 self.control.send(action)
@@ -173,16 +173,16 @@
                 self.stopping.set()
 
     def find_health_endpoint(self, target_id: str) -> Endpoint | None:
-        """Return where a target's health endpoint answers, if it has one."""
+        """Return the health endpoint of a target, None if it has none."""
         row = self.core.tables.targets.get(target_id)
         return None if row is None else row.target.health
 
     def handle_probe_result(self, result: ProbeResult) -> None:
-        """Hand what a prober learnt to the core."""
+        """Pass the result of a probe to the core."""
         self.packet_io.perform(self.core.receive(result, self.clock()))
 
     def leave(self) -> None:
-        """Start a graceful stop."""
+        """Start a graceful shutdown."""
         deadline = self.clock() + self.settings.limits.leave_seconds
         self.core.receive(LeaveRequested(deadline), self.clock())
         log(LEAVING, seconds=self.settings.limits.leave_seconds)
@@ -196,7 +196,7 @@
 async def watch_signals(
     daemon: HostDaemon, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
 ) -> None:
-    """Leave gracefully on SIGTERM or SIGINT; dump the state on SIGUSR1."""
+    """Shut down gracefully on SIGTERM or SIGINT; dump the state on SIGUSR1."""
     wanted = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
     with anyio.open_signal_receiver(*wanted) as signals:
         task_status.started()
--- a/citronspring/daemons/http_client.py
+++ b/citronspring/daemons/http_client.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection for one call at a time, each with a deadline."""
+"""HTTP/1.1 client: one connection, one call at a time, each with a deadline."""
 
 from __future__ import annotations
 
@@ -26,60 +26,60 @@
     from citronspring.http_messages import Message
     from citronspring.http_request import HttpRequest
 
-#: Seconds in which a connection must be made: five lost opening packets of the
-#: 100 ms that the slowest link takes, and well below the tightest bound.
+#: Connection timeout in seconds: five lost SYNs at the 100 ms of the slowest link, and
+#: well below the shortest bound.
 CONNECT_TIMEOUT = 0.6
 
-#: Seconds without a byte after which an answer that has begun to move is given up:
-#: two lost segments in a row take 0.6 s to come again. With a connection and a pause,
-#: 1.8 s of the tightest settling time of 4 s.
+#: Seconds without a byte after which a partly received answer is abandoned. Two
+#: segments lost in a row are retransmitted within 0.6 s. With a connection and a pause
+#: this takes 1.8 s of the shortest settling time of 4 s.
 STALL_TIMEOUT = 1.0
 
 #: Bytes read at once.
 READ_SIZE = 262_144
 
-#: Largest answer taken, in bytes; a value of one megabyte in base64 with its
-#: neighbours stays below.
+#: Largest accepted answer in bytes; a value of one megabyte in base64, with the entries
+#: around it, is smaller.
 MAX_ANSWER_BYTES = 8_000_000
 
-#: Cause of the failure of a call whose answer is larger than was asked for.
+#: Cause reported when an answer exceeds the requested limit.
 TOO_LARGE = b"the answer is too large"
 
 
 class Progress:
-    """Counts bytes that have moved, and puts a deadline off while they do.
+    """Counts transferred bytes and extends a deadline while there is progress.
 
-    Given up by the time since its sending, a large answer on a small link was begun
-    anew for ever, and hosts never got a configuration of 700 KB.
+    With a deadline counted only from the request, a large answer on a slow link was
+    restarted forever, and hosts never received a configuration of 700 KB.
 
     Parameters
     ----------
     deadline : float
-        When to give up if nothing moves at all.
+        Time at which to give up if no byte is transferred.
     """
 
     def __init__(self, deadline: float = -INFINITY) -> None:
         self.deadline = deadline
         self.bytes_moved = 0
-        #: Bytes that had moved at the last look.
+        #: Value of `bytes_moved` at the last update.
         self.bytes_at_last_update = 0
 
     def update(self, now: float) -> None:
-        """Put the deadline off if bytes have moved since the last look."""
+        """Extend the deadline if bytes were transferred since the last update."""
         if self.bytes_moved > self.bytes_at_last_update:
             self.bytes_at_last_update = self.bytes_moved
             self.deadline = max(self.deadline, now + STALL_TIMEOUT)
 
 
 class HttpClient:
-    """A kept connection to one server.
+    """A persistent connection to one server.
 
     Parameters
     ----------
     selector : Poller
-        Tells when the connection can be read or written; callbacks are its data.
+        Reports when the connection is ready; callbacks are registered as its data.
     endpoint : Endpoint
-        The server.
+        Address of the server.
     """
 
     def __init__(self, selector: Poller, endpoint: Endpoint) -> None:
@@ -92,12 +92,12 @@
         self.progress = Progress()
         self.connect_deadline = 0.0
         self.reader = MessageReader(expect_responses=True)
-        #: Largest body that is taken.
+        #: Largest accepted body of the current call in bytes.
         self.max_body: float = MAX_ANSWER_BYTES
 
     @property
     def busy(self) -> bool:
-        """Whether a call is under way."""
+        """Whether a call is in progress."""
         return self.done is not None
 
     def send(
@@ -108,9 +108,9 @@
         done: Callable[[HttpResponse], None],
         max_body: float = MAX_ANSWER_BYTES,
     ) -> None:
-        """Send a request; ``done`` is called once, also when nothing comes back.
+        """Send a request; ``done`` is called once, also if the call fails.
 
-        An answer with a body of more than ``max_body`` bytes is not taken.
+        An answer with a body of more than ``largest`` bytes is rejected.
         """
         self.outgoing = request.encode(self.endpoint)
         self.done = done
@@ -137,20 +137,20 @@
         self.selector.register(sock, EVENT_READ, self.handle)
 
     def next_deadline(self) -> float:
-        """Return the time at which the call under way is given up."""
+        """Return the time at which the current call is abandoned."""
         if self.connected:
             return self.progress.deadline
         return min(self.progress.deadline, self.connect_deadline)
 
     def check_deadline(self, now: float) -> None:
-        """Give the call up if its time has passed, and nothing is coming in."""
+        """Abandon the call if its deadline has passed without progress."""
         self.progress.update(now)
         if self.busy and now >= self.next_deadline():
             cause = b"no answer in time" if self.connected else b"no connection in time"
             self.fail(cause)
 
     def connect(self) -> None:
-        """Start a connection."""
+        """Start connecting."""
         self.sock = Socket(AF_INET, SOCK_STREAM)
         self.sock.setblocking(False)
         self.sock.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
@@ -161,14 +161,14 @@
         self.selector.register(self.sock, EVENT_READ | EVENT_WRITE, self.handle)
 
     def handle(self, mask: int) -> None:
-        """Go on after the selector said that the socket is ready."""
+        """Handle an event of the socket: write, then read."""
         if mask & EVENT_WRITE and self.sock is not None:
             self.finish_connect()
         if mask & EVENT_READ and self.sock is not None:
             self.read()
 
     def finish_connect(self) -> None:
-        """Send the request over a connection that is made, or write on."""
+        """Complete the connection if it is new, and send the request."""
         assert self.sock is not None
         code = self.sock.getsockopt(SOL_SOCKET, SO_ERROR)
         if code:
@@ -178,7 +178,7 @@
         self.write()
 
     def write(self) -> None:
-        """Send what is left of the request."""
+        """Send the rest of the request."""
         assert self.sock is not None
         try:
             sent = self.sock.send(self.outgoing) if self.outgoing else 0
@@ -188,11 +188,11 @@
             self.fail(str(error).encode())
             return
         self.outgoing = self.outgoing[sent:]
-        wanted = EVENT_READ | EVENT_WRITE if self.outgoing else EVENT_READ
-        self.selector.modify(self.sock, wanted, self.handle)
+        events = EVENT_READ | EVENT_WRITE if self.outgoing else EVENT_READ
+        self.selector.modify(self.sock, events, self.handle)
 
     def read(self) -> None:
-        """Take bytes of the answer."""
+        """Read from the socket and handle a complete answer."""
         assert self.sock is not None
         try:
             data = self.sock.recv(READ_SIZE)
@@ -217,7 +217,7 @@
             self.fail(TOO_LARGE)
 
     def handle_answer(self, answer: Message) -> None:
-        """Hand an answer over."""
+        """Pass a complete answer to the caller of `send`."""
         if len(answer.body) > self.max_body:
             self.fail(TOO_LARGE)
             return
@@ -228,7 +228,7 @@
         done(HttpResponse(answer.status, answer.body, answer.headers))
 
     def fail(self, cause: bytes) -> None:
-        """Close the connection; a call under way has failed."""
+        """Close the connection and report the failure of the call in progress."""
         self.close()
         done, self.done = self.done, None
         if done is not None:
--- a/citronspring/daemons/http_server.py
+++ b/citronspring/daemons/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server: readiness, metrics and the state of a process."""
+"""A minimal HTTP/1.1 server for readiness, metrics, state and follower hosts."""
 
 from __future__ import annotations
 
@@ -22,34 +22,33 @@
     from citronspring.endpoints import Endpoint
     from citronspring.http_messages import Message
 
-#: Connections kept at once unless more are asked for; the oldest is closed for
-#: another.
+#: Default limit on open connections; beyond it the oldest one is closed.
 MAX_CONNECTIONS = 64
 
-#: Connections that wait to be accepted.
+#: Length of the queue of connections waiting to be accepted.
 BACKLOG = 64
 
-#: Bytes read at once; requests here have no body.
+#: Bytes read at once; requests to this server have no body.
 READ_SIZE = 8192
 
-#: Reason phrases of the answers given.
+#: Reason phrases of the status codes in use.
 REASON_PHRASES = {200: "OK", 404: "Not Found", 410: "Gone", 503: "Service Unavailable"}
 
 
 class HttpServer:
-    """Answers GET requests from a function.
+    """Answers GET requests by calling a function.
 
     Parameters
     ----------
     selector : Poller
-        Tells when sockets can be read; callbacks are its data.
+        Reports when sockets are ready; callbacks are registered as its data.
     endpoint : Endpoint
-        Where it listens.
+        Address to listen at.
     answer : callable
-        Takes a path and the connection, and returns status and body; None if it will
-        reply later.
+        Takes a path and the connection, and returns status and body, or None to reply
+        later.
     max_connections : int
-        Connections kept at once.
+        Limit on open connections.
     write : callable, optional
         Logs an event; takes its number and fields.
     """
@@ -67,7 +66,7 @@
         self.write = write
         self.max_connections = max_connections
         self.connections: dict[ServerConnection, None] = {}
-        #: Those of them whose answer is still going out.
+        #: Connections with unsent bytes of an answer.
         self.sending: set[ServerConnection] = set()
         self.listener = Socket(AF_INET, SOCK_STREAM)
         self.listener.setsockopt(SOL_SOCKET, SO_REUSEADDR, 1)
@@ -77,11 +76,12 @@
         selector.register(self.listener, EVENT_READ, self.accept)
 
     def accept(self, mask: int) -> None:
-        """Take one connection that waits."""
+        """Accept a waiting connection."""
         try:
             sock, address = self.listener.accept()
         except OSError:
-            # The other side has gone again, or descriptors ran out: it comes anew.
+            # The peer has disconnected, or descriptors ran out; the peer connects
+            # again.
             return
         if len(self.connections) >= self.max_connections:
             next(iter(self.connections)).close()
@@ -89,13 +89,13 @@
         self.connections[connection] = None
 
     def run(self, now: float) -> None:
-        """Close the connections whose other side no longer takes its answer."""
+        """Close the connections whose peer has stopped reading its answer."""
         for connection in [one for one in self.sending if one.is_stalled(now)]:
             self.log_truncated_answer(connection)
             connection.close()
 
     def log_truncated_answer(self, connection: ServerConnection) -> None:
-        """Log that an answer did not go out whole."""
+        """Log that a connection was closed before the whole answer was sent."""
         if self.write is None:
             return
         fields: dict[str, object] = {
@@ -112,27 +112,27 @@
     def __init__(self, server: HttpServer, sock: Socket, host: str) -> None:
         self.server = server
         self.sock = sock
-        #: Address of the other side.
+        #: IP address of the peer.
         self.host = host
         self.path = ""
-        #: Bytes of answers that have not gone out yet, and how the rest moves.
+        #: Unsent bytes of answers, and the progress of sending them.
         self.outgoing = b""
         self.progress = Progress()
         self.reader = MessageReader(expect_responses=False)
-        #: Whether the other side may send another request.
+        #: Whether the connection stays open for another request.
         self.keep_alive = True
         sock.setblocking(False)
         server.selector.register(sock, EVENT_READ, self.handle)
 
     def handle(self, mask: int) -> None:
-        """Go on after the selector said that the socket is ready."""
+        """Handle an event of the socket: write, then read."""
         if mask & EVENT_WRITE:
             self.send()
         if mask & EVENT_READ and not self.closed:
             self.read()
 
     def read(self) -> None:
-        """Take bytes of a request."""
+        """Read from the socket and answer complete requests."""
         try:
             data = self.sock.recv(READ_SIZE)
             if not data:
@@ -150,7 +150,7 @@
             self.close()
 
     def handle_request(self, request: Message) -> None:
-        """Answer a request, now or later."""
+        """Answer a request now, or leave it pending for a later reply."""
         self.path = request.target
         self.keep_alive = request.keep_alive
         answer = self.server.answer(self.path, self)
@@ -159,7 +159,7 @@
 
     @property
     def closed(self) -> bool:
-        """Whether nobody can be answered here any more."""
+        """Whether the connection has been closed."""
         return self not in self.server.connections
 
     def reply(self, status: int, content: str | bytes) -> None:
@@ -174,7 +174,7 @@
         self.send()
 
     def send(self) -> None:
-        """Send what the socket takes; the rest goes out when it takes more."""
+        """Send what the socket accepts now; the rest is sent once it is writable."""
         try:
             sent = self.sock.send(self.outgoing)
         except BlockingIOError:
@@ -189,19 +189,19 @@
             return
         self.watch_writable(bool(self.outgoing))
 
-    def watch_writable(self, waits: bool) -> None:
-        """Have the selector tell, or no longer, when the socket takes more."""
-        if waits == (self in self.server.sending):
+    def watch_writable(self, waiting: bool) -> None:
+        """Start or stop waiting for the socket to become writable."""
+        if waiting == (self in self.server.sending):
             return
-        if waits:
+        if waiting:
             self.server.sending.add(self)
         else:
             self.server.sending.discard(self)
-        wanted = EVENT_READ | EVENT_WRITE if waits else EVENT_READ
-        self.server.selector.modify(self.sock, wanted, self.handle)
+        events = EVENT_READ | EVENT_WRITE if waiting else EVENT_READ
+        self.server.selector.modify(self.sock, events, self.handle)
 
     def is_stalled(self, now: float) -> bool:
-        """Whether the other side has taken nothing of its answer for too long."""
+        """Whether the peer has read nothing of its answer for too long."""
         self.progress.update(now)
         return now >= self.progress.deadline
 
--- a/citronspring/daemons/line_log.py
+++ b/citronspring/daemons/line_log.py
@@ -1,4 +1,4 @@
-"""Log events as JSON lines on standard output: bounded, and never waited for."""
+"""Writes log events as JSON lines to standard output, rate-limited and non-blocking."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-#: Lines a second of one kind of event. At 200 bytes a line and about ten kinds under
-#: load this is some 60 KB and 3 ms of processor a second.
+#: Limit on lines per second of one kind of event. At 200 bytes a line and about ten
+#: kinds under load this is some 60 KB and 3 ms of processor time a second.
 MAX_LINES_PER_SECOND = 30
 
-#: Bytes that wait for a reader of the output that is slow; more are left out.
+#: Limit on bytes buffered for a slow reader of the output; further lines are omitted.
 MAX_BUFFERED_BYTES = 65536
 
-#: Seconds over which lines are counted.
+#: Length in seconds of the window in which lines are counted.
 WINDOW = 1.0
 
 
@@ -28,11 +28,11 @@
     Parameters
     ----------
     descriptor : int
-        Where the lines go; made non-blocking.
+        File descriptor to write to; it is made non-blocking.
     host_id : str
-        Stands in each line.
+        Id of the host, written in each line.
     format_flow : callable, optional
-        Returns the key of a flow as text; hexadecimal if not given.
+        Returns the key of a flow as text; the default is hexadecimal.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         set_blocking(descriptor, False)
 
     def write(self, number: int, fields: Mapping[str, object], now: float) -> None:
-        """Queue the line of an event, unless its kind has used up its budget."""
+        """Queue the line of an event unless the limit of its kind is reached."""
         if now >= self.window_ends_at:
             self.start_window(now)
         self.written[number] += 1
@@ -62,7 +62,7 @@
         self.queue(number, fields)
 
     def start_window(self, now: float) -> None:
-        """Give every kind its budget again, and tell what was left out."""
+        """Reset the counts, and log how many lines were omitted."""
         self.window_ends_at = now + WINDOW
         self.written.clear()
         if self.omitted:
@@ -71,7 +71,7 @@
             self.queue(LINES_LEFT_OUT.number, {"lines": lines})
 
     def queue(self, number: int, fields: Mapping[str, object]) -> None:
-        """Add a line to what waits, if there is room."""
+        """Append a line to the buffer if there is room."""
         event = CATALOGUE.get(number, UNKNOWN_EVENT)
         line = {
             "time": round(time.time(), 3),
@@ -88,11 +88,11 @@
         self.buffer += encoded
 
     def to_text(self, value: object) -> str:
-        """Return what JSON has no form for as text."""
+        """Return a value that JSON cannot represent as text."""
         return self.format_flow(value) if isinstance(value, bytes) else str(value)
 
     def flush(self) -> None:
-        """Write as much as the output takes now."""
+        """Write as much of the buffer as the output accepts now."""
         if not self.buffer:
             return
         try:
@@ -100,7 +100,7 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads the log any more; serving goes on without it.
+            # The reader of the log has closed it; the host continues to serve.
             self.buffer.clear()
             return
         del self.buffer[:written]
--- a/citronspring/daemons/packet_io.py
+++ b/citronspring/daemons/packet_io.py
@@ -1,4 +1,4 @@
-"""The carrier: datagrams to events of the core, and actions to datagrams."""
+"""Packet I/O: turns datagrams into events of the core and actions into datagrams."""
 
 from __future__ import annotations
 
@@ -38,18 +38,18 @@
 
 
 class PacketIO:
-    """Moves packets between the sockets and the core.
+    """Moves packets between the sockets and the decision core.
 
     Parameters
     ----------
     core : Balancer
-        Decides.
+        Decision core.
     application : Application
-        Gets ``packet-dropped`` and ``action`` events.
+        Receives the ``packet-dropped`` and ``action`` events.
     settings : Settings
-        Names sockets and the fabric.
+        Endpoints of the host's sockets and of the fabric.
     clock : callable
-        Returns seconds that never go back.
+        Monotonic clock in seconds.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self.core = core
         self.application = application
         self.clock = clock
-        #: Time of the current batch: read once, not for each packet.
+        #: Time of the current batch; read once a batch instead of once a packet.
         self.now = clock()
         self.gateway = settings.fabric.gateway
         self.fabric_ips = {self.gateway.ip, *settings.fabric.sources}
@@ -77,7 +77,7 @@
         settings: Settings,
         clock: Callable[[], float],
     ) -> PacketIO:
-        """Bind the sockets that the settings name."""
+        """Return an instance with the sockets that the settings give, bound."""
         return cls(core, application, settings, clock)
 
     def close(self) -> None:
@@ -86,7 +86,7 @@
         self.relay.close()
 
     def begin_batch(self) -> None:
-        """Take the time for the datagrams that have arrived."""
+        """Record the time at which the next batch of datagrams is handled."""
         self.now = self.clock()
 
     def receive_tunnelled(self, datagram: bytes, source: Source) -> None:
@@ -107,7 +107,7 @@
         self.perform(self.core.receive(event, self.now))
 
     def receive_relayed(self, datagram: bytes, source: Source) -> None:
-        """Handle a datagram from another host."""
+        """Handle a datagram relayed by another host."""
         sender = self.peer_at(source)
         if sender is None:
             self.drop("foreign-relay")
@@ -128,12 +128,12 @@
         self.perform(self.core.receive(event, self.now))
 
     def count_kernel_drops(self) -> None:
-        """Count datagrams that arrived faster than this process read them."""
+        """Count datagrams that the kernel dropped at a full receive buffer."""
         drops = kernel_drops(self.tunnel) + kernel_drops(self.relay)
         self.core.tables.counters["dropped.kernel"] = drops
 
     def peer_at(self, source: Source) -> str | None:
-        """Return the host whose relay socket a datagram came from."""
+        """Return the host whose relay socket is the source of a datagram."""
         for host_id, row in self.core.tables.hosts.items():
             relay = row.host.relay
             if (relay.ip, relay.port) == source:
@@ -141,18 +141,18 @@
         return None
 
     def target_at(self, tunnel: Endpoint | None) -> str | None:
-        """Return the target with a tunnel; an unknown one stays foreign."""
+        """Return the target with a tunnel; an unknown one by its endpoint as text."""
         if tunnel is None:
             return None
         return self.core.tables.targets_by_ip.get(tunnel.ip, str(tunnel))
 
     def drop(self, kind: str) -> None:
-        """Count a datagram that goes nowhere."""
+        """Count a dropped datagram and emit ``packet-dropped``."""
         self.core.tables.counters[f"dropped.{kind}"] += 1
         self.application.emit("packet-dropped", kind)
 
     def perform(self, actions: list[Action]) -> None:
-        """Do what the core asks for."""
+        """Execute actions of the core."""
         for action in actions:
             match action:
                 case SendToTarget():
@@ -176,18 +176,18 @@
             self.send_datagram(encapsulate(inner), row.target.tunnel)
 
     def send_to_caller(self, inner: bytes) -> None:
-        """Hand an IP packet to the fabric."""
+        """Send an IP packet to the fabric, which delivers it to the caller."""
         self.send_datagram(encapsulate(inner), self.gateway)
 
     def send_datagram(self, datagram: bytes, endpoint: Endpoint) -> None:
-        """Send from the tunnel socket, and count what the kernel does not take."""
+        """Send a datagram from the tunnel socket; count it if the kernel rejects it."""
         try:
             self.tunnel.sendto(datagram, (endpoint.ip, endpoint.port))
         except OSError:
             self.core.tables.counters["dropped.send"] += 1
 
     def send_relay(self, action: Relay) -> None:
-        """Hand a packet or binding to another host."""
+        """Relay a packet or a flow binding to another host."""
         row = self.core.tables.hosts.get(action.host_id)
         if row is None:
             return
@@ -202,15 +202,15 @@
             self.core.tables.counters["dropped.send"] += 1
 
     def tunnel_of(self, target_id: str | None) -> Endpoint | None:
-        """Return a target's tunnel."""
+        """Return the tunnel endpoint of a target, None if the target is unknown."""
         row = self.core.tables.targets.get(target_id) if target_id else None
         return None if row is None else row.target.tunnel
 
 
 def describe_refusal(action: Refuse, now: float) -> str:
-    """Return what a refused caller is told.
+    """Return the text that a refused caller receives.
 
-    Rounded down, the time would have the caller refused again.
+    The delay is rounded up: a caller that retries too early would be refused again.
     """
     wait = math.ceil(max(0.0, action.retry_at - now) * 10) / 10
     return f"{action.reason.value}; retry after {wait:.1f} s"
--- a/citronspring/daemons/platform_adapter.py
+++ b/citronspring/daemons/platform_adapter.py
@@ -1,4 +1,4 @@
-"""What a host in token mode needs of the adapter to a platform."""
+"""Interface of the adapter to a platform that a host in token mode uses."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 
 @record
 class PlatformAdapter:
-    """Functions between a platform's formats and the product's types."""
+    """Functions that convert between a platform's formats and the internal types."""
 
-    #: Raises SettingsError.
+    #: Raises SettingsError if the settings are invalid.
     read_settings: Callable[[], HostSettings]
-    #: Differs once the settings file has changed.
+    #: Returns a number that changes whenever the settings file changes.
     settings_version: Callable[[], int]
-    #: Raises MalformedPacketError.
+    #: Raises MalformedPacketError if a datagram is not a valid packet.
     decode_packet: Callable[[bytes], Packet]
-    #: Takes the packet, the incarnation and the token of its target.
+    #: Takes the packet, and the incarnation and token of its target.
     encode_for_target: Callable[[Packet, int, int], bytes]
     encode_reset: Callable[[Packet], bytes]
     caller_ip: Callable[[Packet], str]
     #: Returns a flow's key as ``caller:port>service:port``.
     format_flow: Callable[[bytes], str]
     encode_call: Callable[[ListEntries | WatchEntries], HttpRequest]
-    #: Takes the call, and status, body and headers of its answer.
+    #: Takes the call, and the status, body and headers of its answer.
     decode_answer: Callable[
         [ListEntries | WatchEntries, int, bytes, dict[bytes, bytes]], StoreAnswer
     ]
-    #: The same for the choice of a zone's reader, without headers.
+    #: The same for election calls, without headers.
     encode_election_call: Callable[[ElectionCall], HttpRequest]
     decode_election_answer: Callable[[ElectionCall, int, bytes], ElectionAnswer]
-    #: Path under which routers ask for readiness.
+    #: Path at which routers ask for readiness.
     readiness_path: str
--- a/citronspring/daemons/poller.py
+++ b/citronspring/daemons/poller.py
@@ -1,4 +1,4 @@
-"""Waits for sockets, as a selector of the standard library does, at less of a start.
+"""Waits for sockets with epoll, at a lower import cost than ``selectors``.
 
 See `citronspring.light_stdlib` for why a host does not import ``selectors``.
 """
@@ -15,18 +15,18 @@
 
     from citronspring.light_sockets import Socket
 
-#: What a socket is waited for, as in ``selectors``.
+#: Events of a socket, with the values they have in ``selectors``.
 EVENT_READ = 1
 EVENT_WRITE = 2
 
 
 @record
 class Registration:
-    """A socket that is waited for."""
+    """A registered socket."""
 
     fileobj: Socket
     events: int
-    #: Called with what the socket is ready for.
+    #: Called with the events that the socket is ready for.
     data: Callable[[int], None]
 
 
@@ -42,7 +42,7 @@
     def register(
         self, sock: Socket, events: int, callback: Callable[[int], None]
     ) -> None:
-        """Wait for a socket from now on."""
+        """Start waiting for events of a socket."""
         registration = Registration(sock, events, callback)
         self.epoll.register(sock.fileno(), kernel_events(events))
         self.registrations[sock.fileno()] = self.map[sock] = registration
@@ -50,24 +50,24 @@
     def modify(
         self, sock: Socket, events: int, callback: Callable[[int], None]
     ) -> None:
-        """Wait for something else of a socket."""
+        """Change the events and callback of a registered socket."""
         registration = self.map[sock]
         registration.events = events
         registration.data = callback
         self.epoll.modify(sock.fileno(), kernel_events(events))
 
     def unregister(self, sock: Socket) -> None:
-        """Wait for a socket no longer."""
+        """Stop waiting for a socket."""
         del self.map[sock]
         del self.registrations[sock.fileno()]
         self.epoll.unregister(sock.fileno())
 
     def get_map(self) -> Mapping[Socket, Registration]:
-        """Return what is registered, by socket."""
+        """Return the registrations by socket."""
         return self.map
 
     def select(self, timeout: float) -> list[tuple[Registration, int]]:
-        """Return the sockets that are ready, after some seconds at the latest."""
+        """Return the ready sockets and their events; wait for at most the timeout."""
         ready = []
         for descriptor, events in self.epoll.poll(timeout):
             registration = self.registrations[descriptor]
@@ -75,19 +75,19 @@
         return ready
 
     def close(self) -> None:
-        """Wait for nothing more."""
+        """Close the epoll descriptor."""
         self.epoll.close()
 
 
 def kernel_events(events: int) -> int:
-    """Return what the kernel is asked to wait for."""
+    """Return the epoll event mask for events of a socket."""
     read = EPOLLIN if events & EVENT_READ else 0
     write = EPOLLOUT if events & EVENT_WRITE else 0
     return read | write
 
 
 def ready_for(events: int) -> int:
-    """Return what a socket is ready for; an error shows at reading and at writing."""
+    """Return the events of an epoll mask; an error counts as readable and writable."""
     read = EVENT_READ if events & ~EPOLLOUT else 0
     write = EVENT_WRITE if events & ~EPOLLIN else 0
     return read | write
--- a/citronspring/daemons/prefetch.py
+++ b/citronspring/daemons/prefetch.py
@@ -1,7 +1,7 @@
-"""The first call to the store, made before the rest of a host is imported.
+"""Prefetch of the first store listing while the rest of a host is imported.
 
-A list of some forty kilobytes takes a link of 5 Mbit/s as long as the imports take a
-small share of a processor. Asked for first, it comes in meanwhile.
+A list of some forty kilobytes takes about as long over a link of 5 Mbit/s as the
+imports take on a small share of a processor, so both run at the same time.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
     from citronspring.http_request import HttpRequest
     from citronspring.tokens.messages import ListEntries
 
-#: Seconds that a start waits for the connection: five times the usual way there and
-#: back. A store that is away costs no more than that.
+#: Connection timeout in seconds: five times the usual round trip. An unreachable store
+#: delays the start by no more than this.
 CONNECT_TIMEOUT = 0.01
 
 
 @record
 class Prefetch:
-    """A call that is under way."""
+    """A call to the store that is in progress."""
 
     call: ListEntries
     sock: Socket
@@ -38,7 +38,7 @@
 def start_prefetch(
     endpoint: Endpoint, call: ListEntries, request: HttpRequest, now: float
 ) -> Prefetch | None:
-    """Send a call to the store; None if there is no connection at once."""
+    """Send a call to the store; return None if it cannot connect at once."""
     sock = Socket(AF_INET, SOCK_STREAM)
     try:
         sock.settimeout(CONNECT_TIMEOUT)
@@ -47,7 +47,7 @@
         sock.setblocking(False)
         sock.send(request.encode(endpoint))
     except OSError:
-        # The host's usual call follows, and logs what fails.
+        # The host makes its regular call later, which logs the failure.
         sock.close()
         return None
     return Prefetch(call, sock, now)
--- a/citronspring/daemons/prober.py
+++ b/citronspring/daemons/prober.py
@@ -1,4 +1,4 @@
-"""Asks targets' health endpoints over HTTP what the core wants to know."""
+"""Probes the health endpoints of targets over HTTP."""
 
 from __future__ import annotations
 
@@ -18,41 +18,41 @@
     from citronspring.entities import Endpoint
     from citronspring.messages import ProbeTarget
 
-    #: Returns where a target's health endpoint answers, if it has one.
+    #: Returns the health endpoint of a target, None if it has none.
     FindEndpoint = Callable[[str], Endpoint | None]
 
 #: Path of a target's health endpoint.
 HEALTH_PATH = "/health"
 
-#: Seconds for a whole answer; less than the time between two probes of a target.
+#: Timeout of a probe in seconds; less than the interval between two probes of a target.
 PROBE_TIMEOUT = 1.5
 
-#: Probes at once, and probes that may wait. A host probes each of its targets
-#: every two seconds, so that these are enough for hundreds of slow ones.
+#: Limits on concurrent and on queued probes. A host probes each of its targets every
+#: two seconds, so these suffice for hundreds of slow targets.
 MAX_CONCURRENT = 32
 MAX_QUEUED = 1024
 
-#: Bytes of an answer; more is taken for an error.
+#: Largest answer in bytes; a longer one counts as an error.
 MAX_ANSWER_BYTES = 4096
 
 
 class HealthAnswer(BaseModel):
-    """What a health endpoint says."""
+    """Answer of a health endpoint."""
 
     healthy: bool
-    #: Requests at work and waiting, over slots.
+    #: Requests in service and queued, divided by the target's slots.
     load: float | None = Field(default=None, ge=0.0, le=1e6, allow_inf_nan=False)
 
 
 class Prober:
-    """Performs probes in a few tasks, each target's one at a time.
+    """Runs probes in a fixed number of tasks, at most one probe per target at a time.
 
     Parameters
     ----------
     find_endpoint : callable
-        Returns where a target's health endpoint answers.
+        Returns the health endpoint of a target.
     report : callable
-        Takes the result of each probe.
+        Called with the result of each probe.
     """
 
     def __init__(
@@ -60,15 +60,15 @@
     ) -> None:
         self.find_endpoint = find_endpoint
         self.report = report
-        #: Targets that are being asked, or wait for it.
+        #: Targets whose probe is queued or running.
         self.pending: set[str] = set()
-        #: Probes not made since too many waited.
+        #: Probes skipped because the queue was full.
         self.dropped = 0
         streams = anyio.create_memory_object_stream[str](MAX_QUEUED)
         self.requests, self.queue = streams
 
     def request(self, action: ProbeTarget) -> None:
-        """Queue a probe; never blocks, since the core's carrier calls it."""
+        """Queue a probe; never blocks, because the packet path calls it."""
         if action.target_id in self.pending:
             return
         try:
@@ -79,7 +79,7 @@
         self.pending.add(action.target_id)
 
     async def run(self) -> None:
-        """Probe until cancelled."""
+        """Run the probe tasks until cancelled."""
         limits = httpx.Limits(max_connections=MAX_CONCURRENT)
         client = httpx.AsyncClient(
             limits=limits, timeout=PROBE_TIMEOUT, trust_env=False
@@ -89,14 +89,14 @@
                 group.start_soon(self.run_worker, client, self.queue.clone())
 
     def close(self) -> None:
-        """Take no more requests."""
+        """Close the queue."""
         self.requests.close()
         self.queue.close()
 
     async def run_worker(
         self, client: httpx.AsyncClient, queue: MemoryObjectReceiveStream[str]
     ) -> None:
-        """Make one probe after the other."""
+        """Run queued probes one after another."""
         with queue:
             async for target_id in queue:
                 result = await self.probe(client, target_id)
@@ -107,7 +107,7 @@
     async def probe(
         self, client: httpx.AsyncClient, target_id: str
     ) -> ProbeResult | None:
-        """Ask one target; any failure to answer well is an unhealthy answer."""
+        """Return the result of one probe; any error counts as unhealthy."""
         endpoint = self.find_endpoint(target_id)
         if endpoint is None:
             return None
@@ -123,7 +123,7 @@
 
 
 async def fetch(client: httpx.AsyncClient, url: str) -> bytes:
-    """Return the body of a good answer, cut off where it grows too long."""
+    """Return the body of a successful answer, truncated above the largest size."""
     body = b""
     async with client.stream("GET", url) as response:
         response.raise_for_status()
--- a/citronspring/daemons/reader.py
+++ b/citronspring/daemons/reader.py
@@ -1,4 +1,4 @@
-"""Reading the platform: on the core's word, and by a watch while it is a reader."""
+"""Reads the platform: when the core requests it, and by a watch on a zone reader."""
 
 from __future__ import annotations
 
@@ -20,58 +20,58 @@
     from citronspring.messages import Action, Event
     from citronspring.tables import Tables
 
-#: Seconds a watch waits before it is asked anew.
+#: Timeout of a watch in seconds, after which it is restarted.
 WATCH_TIMEOUT = 30.0
 
-#: Seconds a read may take; what comes later is too old to say what is current.
+#: Timeout of a read in seconds; a later answer is too old to prove what is current.
 READ_TIMEOUT = 2.0
 
-#: Seconds until the first try after a failure, and the most they double to.
+#: First and largest delay between retries in seconds; the delay doubles.
 INITIAL_RETRY_DELAY = 0.5
 MAX_RETRY_DELAY = 8.0
 
-#: Seconds between two looks at whether this host is a reader.
+#: Seconds between two checks whether this host is a zone reader.
 ROLE_CHECK_INTERVAL = 0.5
 
-#: Seconds after which a confirmation is told again: a platform that came back from an
-#: older copy has lost it, and addresses would move no more until the next change.
+#: Seconds after which a confirmation is repeated. A platform that was restored from a
+#: backup has lost it, and no address could move until the next change.
 CONFIRM_INTERVAL = 60.0
 
-#: States of hosts whose revision a zone's confirmation waits for.
+#: States of hosts that must have a revision before their zone is confirmed at it.
 SERVING = (HostState.ALIVE, HostState.SUSPECT, HostState.LEAVING)
 
 
 class ConfigurationSource(Protocol):
-    """Where the configuration is read; the configuration store is one."""
+    """Source of the configuration, for example the configuration store."""
 
     async def read_snapshot(self) -> Snapshot:
-        """Read every account."""
+        """Return all accounts."""
 
     async def read_records(
         self, after_revision: int
     ) -> tuple[ChangeRecord, ...] | None:
-        """Read the records above a revision; None when some are forgotten."""
+        """Return the records above a revision; None if some are no longer stored."""
 
     async def watch_head(self, after_revision: int) -> int:
-        """Wait for a revision above one and return it."""
+        """Wait for a revision above the given one and return it."""
 
     async def confirm_zone(self, zone: str, revision: int) -> int:
-        """Tell that all hosts of a zone are at a revision or above."""
+        """Confirm that all hosts of a zone have a revision or a later one."""
 
 
 class PlatformReader:
-    """Reads the platform for the core; its failures never stop serving.
+    """Reads the platform for the core; failures do not stop the host from serving.
 
     Parameters
     ----------
     core : Balancer
-        Says when to read, and whether this host is a reader.
+        Decision core; it requests reads and knows whether this host is a zone reader.
     source : ConfigurationSource
-        Reads.
+        Source of the configuration.
     clock : callable
-        Returns seconds that never go back.
+        Monotonic clock in seconds.
     perform : callable
-        Does what the core asks for.
+        Executes actions of the core.
     """
 
     def __init__(
@@ -88,20 +88,20 @@
         self.read_requested = anyio.Event()
         #: Set by the first successful read.
         self.answered = anyio.Event()
-        #: The platform is not called before this time.
+        #: Time before which the platform is not called.
         self.retry_at = 0.0
         self.retry_interval = INITIAL_RETRY_DELAY
-        #: Revision that this host told the platform its zone is at, and until when
-        #: that is taken to be there.
+        #: Revision that this host confirmed for its zone, and the time until which the
+        #: platform is assumed to have it.
         self.confirmed = 0
         self.confirmed_until = 0.0
 
     def request(self) -> None:
-        """Have the platform read soon."""
+        """Request a read."""
         self.read_requested.set()
 
     async def read_on_request(self) -> None:
-        """Read whenever it is asked for."""
+        """Read whenever a read is requested."""
         while True:
             await self.read_requested.wait()
             await self.wait_for_retry()
@@ -110,7 +110,7 @@
                 self.read_requested.set()
 
     async def watch(self) -> None:
-        """While this host is a reader, ask for reads as soon as there is news."""
+        """Watch for changes while this host is a zone reader, and request reads."""
         while True:
             if not self.core.tables.replication.is_reader:
                 await anyio.sleep(ROLE_CHECK_INTERVAL)
@@ -119,7 +119,7 @@
             await self.attempt(self.watch_once)
 
     async def confirm(self) -> None:
-        """While this host is a reader, tell the platform what its zone is at."""
+        """Confirm the zone's revision to the platform while this host is a reader."""
         while True:
             await anyio.sleep(ROLE_CHECK_INTERVAL)
             revision = zone_revision(self.core.tables)
@@ -129,16 +129,18 @@
                 await self.attempt(self.confirm_once)
 
     def confirmation_is_due(self, revision: int) -> bool:
-        """Whether the platform is to be told, or may have lost, a zone's revision."""
-        told = revision <= self.confirmed and self.clock() < self.confirmed_until
-        return revision > 0 and not told
+        """Whether a zone's revision is unconfirmed or its confirmation may be lost."""
+        is_confirmed = (
+            revision <= self.confirmed and self.clock() < self.confirmed_until
+        )
+        return revision > 0 and not is_confirmed
 
     async def wait_for_retry(self) -> None:
-        """Wait until the platform may be called."""
+        """Wait until the retry delay has passed."""
         await anyio.sleep(max(0.0, self.retry_at - self.clock()))
 
     async def attempt(self, call: Callable[[], Awaitable[None]]) -> bool:
-        """Make one call; put the next ones off when it fails."""
+        """Make one call; on failure, delay the next ones."""
         try:
             await call()
         except (CitronspringError, OSError, TimeoutError) as error:
@@ -150,7 +152,7 @@
         return True
 
     async def read(self) -> None:
-        """Read what is newer than the core has and give it to the core."""
+        """Read changes newer than the core's revision and pass them to the core."""
         asked_at = self.clock()
         with anyio.fail_after(READ_TIMEOUT):
             event = await self.read_event(self.core.tables.revision, asked_at)
@@ -158,7 +160,7 @@
         self.perform(self.core.receive(event, self.clock()))
 
     async def read_event(self, revision: int, asked_at: float) -> Event:
-        """Read records, or everything where there is nothing to add them to."""
+        """Return the newer records, or a snapshot if there is no base for records."""
         if revision > 0:
             records = await self.source.read_records(revision)
             if records is not None:
@@ -166,14 +168,14 @@
         return SnapshotRead(await self.source.read_snapshot(), asked_at)
 
     async def watch_once(self) -> None:
-        """Wait for one change, for a bounded time."""
+        """Wait for one change, up to the timeout, and read it."""
         revision = self.core.tables.revision
         with anyio.move_on_after(WATCH_TIMEOUT):
             if await self.source.watch_head(revision) > revision:
                 await self.read()
 
     async def confirm_once(self) -> None:
-        """Tell the platform what this zone is at."""
+        """Confirm this zone's revision to the platform."""
         with anyio.fail_after(READ_TIMEOUT):
             zone = self.core.tables.zone
             self.confirmed = await self.source.confirm_zone(
@@ -183,7 +185,7 @@
 
 
 def zone_revision(tables: Tables) -> int:
-    """Return the lowest revision that a serving host of this host's zone told of."""
+    """Return the lowest revision reported by a serving host of this host's zone."""
     return min(
         row.revision
         for row in tables.hosts.values()
--- a/citronspring/daemons/sockets.py
+++ b/citronspring/daemons/sockets.py
@@ -1,4 +1,4 @@
-"""Batched UDP sockets on anyio's readiness."""
+"""Non-blocking UDP sockets, read in batches with anyio."""
 
 from __future__ import annotations
 
@@ -16,26 +16,27 @@
 
     from citronspring.entities import Endpoint
 
-#: Datagrams read for one wake-up of the event loop. One read a wake-up loses most
-#: of a burst; many more would starve the other sockets.
+#: Datagrams read per wake-up of the event loop. One read per wake-up loses most of a
+#: burst; many more would starve the other sockets.
 BATCH = 64
 
-#: Kernel buffer asked for, bytes; holds a burst while another task runs.
+#: Requested kernel receive buffer in bytes; holds a burst while another task runs.
 RECEIVE_BUFFER = 8 * 1024 * 1024
 
-#: Socket option that tells a socket's memory and drops (Linux, linux/sock_diag.h):
-#: nine numbers of 32 bits, the last of them the datagrams that found no room.
+#: Socket option that returns a socket's memory use and drops (Linux,
+#: linux/sock_diag.h): nine 32-bit numbers, the last of them the datagrams dropped at a
+#: full buffer.
 SO_MEMINFO = 55
 MEMINFO = struct.Struct("=9I")
 
-#: An outer source address and port.
+#: Source address and port of a received datagram.
 Source = tuple[str, int]
 
 
 def bind_udp(endpoint: Endpoint) -> socket.socket:
     """Return a non-blocking UDP socket bound to an endpoint.
 
-    Raises SettingsError when the address is not free.
+    Raises SettingsError if the address is in use or unavailable.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setblocking(False)
@@ -49,7 +50,7 @@
 
 
 def no_op() -> None:
-    """Stand for a handler that needs no notice of a batch."""
+    """Do nothing; the default callback before a batch."""
 
 
 async def receive_forever(
@@ -57,7 +58,7 @@
     handle: Callable[[bytes, Source], None],
     begin: Callable[[], None] = no_op,
 ) -> None:
-    """Give every datagram to a handler, in batches.
+    """Pass every datagram to a handler, in batches.
 
     Parameters
     ----------
@@ -75,7 +76,7 @@
 
 
 def receive_batch(sock: socket.socket, handle: Callable[[bytes, Source], None]) -> None:
-    """Read up to a batch of datagrams that have arrived."""
+    """Read and handle up to one batch of datagrams."""
     for _ in range(BATCH):
         try:
             datagram, source = sock.recvfrom(MAX_DATAGRAM)
@@ -85,7 +86,7 @@
 
 
 def send(sock: socket.socket, datagram: bytes, endpoint: Endpoint) -> bool:
-    """Send a datagram; return False where the kernel takes none, as a lossy link."""
+    """Send a datagram; return False if the kernel rejects it. It counts as lost."""
     try:
         sock.sendto(datagram, (endpoint.ip, endpoint.port))
     except OSError:
--- a/citronspring/daemons/store_calls.py
+++ b/citronspring/daemons/store_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a host in token mode: to the store, to peers, and to its zone's reader."""
+"""Calls of a host in token mode: to the store, to peers and to its zone reader."""
 
 from __future__ import annotations
 
@@ -37,32 +37,32 @@
         StoreCall,
     )
 
-#: Paths under which hosts give copies of what they know, and hand on what they read.
-COPY_PATH = "/copy"
-NEWS_PATH = "/news"
+#: Paths at which hosts serve peer snapshots and the change feed.
+SNAPSHOT_PATH = "/copy"
+CHANGE_FEED_PATH = "/news"
 
 MILLISECONDS = 1000
 
 
 class StoreCalls:
-    """Makes the calls that the core asks for, one at a time of each kind.
+    """Makes the calls that the core requests, one at a time of each kind.
 
     Parameters
     ----------
     core : TokenBalancer
-        Decides what is called, and takes the answers.
+        Decision core; it chooses the calls and receives the answers.
     selector : Poller
-        Tells when connections can be read or written.
+        Reports when connections are ready.
     settings : HostSettings
-        Addresses, the host's name and its share of a processor.
-    adapter : Translation
-        The adapter to the platform.
+        Addresses, the host's id and its share of a processor.
+    adapter : PlatformAdapter
+        Adapter to the platform.
     perform : callable
-        Does what the core decided; takes the actions and the time.
+        Executes actions of the core; takes the actions and the time.
     clock : callable
         Returns the time in seconds.
     prefetch : Prefetch, optional
-        A call to the store that is under way.
+        A call to the store that is already in progress.
     """
 
     def __init__(
@@ -88,31 +88,31 @@
         if prefetch is not None:
             self.adopt(prefetch)
 
-    def adopt(self, first: Prefetch) -> None:
-        """Take a call that is under way for the first that the core asks for.
+    def adopt(self, prefetch: Prefetch) -> None:
+        """Take over a prefetch as the first call that the core requests.
 
-        Its time counts from now: nobody could have read an answer before.
+        Its timeout counts from now, because an answer could not be read before.
         """
-        deadline = self.core.answer_deadline(first.call, self.clock())
+        deadline = self.core.answer_deadline(prefetch.call, self.clock())
 
         def done(answer: HttpResponse) -> None:
-            self.finish(first.call, answer, first.sent_at)
+            self.finish(prefetch.call, answer, prefetch.sent_at)
 
-        self.store.adopt(first.sock, deadline, done)
+        self.store.adopt(prefetch.sock, deadline, done)
 
     def apply_settings(self, settings: HostSettings) -> None:
-        """Use other settings from the next call on."""
+        """Use new settings from the next call on."""
         self.settings = settings
         self.store.endpoint = self.election.endpoint = settings.store
         self.claim_delay = claim_delay(settings.host_id, settings.processor_share)
 
     @property
     def reading(self) -> bool:
-        """Whether a call that reads is under way."""
+        """Whether a read is in progress."""
         return self.store.busy or self.peer.busy
 
     def next_deadline(self) -> float:
-        """Return the time at which a call is due, or is given up."""
+        """Return the time at which the next call is due or times out."""
         deadlines = [one.next_deadline() for one in self.clients if one.busy]
         if not self.reading:
             deadlines.append(self.core.tables.reader.call_at)
@@ -121,7 +121,7 @@
         return min(deadlines)
 
     def run(self, now: float) -> None:
-        """Give up calls whose time has passed, and make those that are due."""
+        """Abandon calls that timed out and make the calls that are due."""
         for client in self.clients:
             client.check_deadline(now)
         if not self.reading:
@@ -129,10 +129,10 @@
         if not self.election.busy:
             self.run_election(now)
 
-    # What is in force --------------------------------------------------------------
+    # Reads of the configuration and targets ----------------------------------------
 
     def read(self, now: float) -> None:
-        """Make the next call that reads, if it is time."""
+        """Make the next read if it is due."""
         call = self.core.next_call(now)
         if call is None:
             return
@@ -145,23 +145,23 @@
             case ReadPeer():
                 peers = self.settings.peers
                 self.select_host(peers[call.turn % len(peers)])
-                self.peer.send(HttpRequest("GET", COPY_PATH), deadline, now, done)
+                self.peer.send(HttpRequest("GET", SNAPSHOT_PATH), deadline, now, done)
             case FollowReader():
                 self.select_host(call.endpoint)
-                self.peer.send(news_request(call), deadline, now, done)
+                self.peer.send(feed_request(call), deadline, now, done)
             case _:
                 request = self.adapter.encode_call(call)
                 largest = self.core.largest_answer(call)
                 self.store.send(request, deadline, now, done, largest)
 
-    def finish(self, call: StoreCall, found: HttpResponse, sent_at: float) -> None:
-        """Take what came back of a call, and log it if that is nothing."""
-        answer = self.decode(call, found)
+    def finish(self, call: StoreCall, response: HttpResponse, sent_at: float) -> None:
+        """Decode the answer to a read, log a failure, and pass it to the core."""
+        answer = self.decode(call, response)
         self.log_failure(call, answer, sent_at)
         self.handle_store_answer(call, answer, sent_at)
 
     def log_failure(self, call: StoreCall, answer: StoreAnswer, sent_at: float) -> None:
-        """Log a call that brought nothing, with what had come of its answer."""
+        """Log a failed call with its cause and the bytes received."""
         match answer:
             case Unanswered():
                 cause = answer.cause
@@ -186,77 +186,82 @@
         self.perform([Log(CALL_FAILED.number, fields)], now)
 
     def select_host(self, endpoint: Endpoint) -> None:
-        """Turn to another host.
+        """Direct the next call at another host.
 
-        The connection to the store is closed: unused, it may go silent unnoticed, and
-        then cost the time in which the store must be read once the host is lost.
+        Close the idle connection to the store: it could break unnoticed, and the next
+        call on it would wait out its timeout just when the other host fails and the
+        store has to be read.
         """
         self.store.close()
         if self.peer.endpoint != endpoint:
             self.peer.close()
             self.peer.endpoint = endpoint
 
-    def decode(self, call: StoreCall, found: HttpResponse) -> StoreAnswer:
-        """Translate what came back of a call."""
-        if found.status == 0:
+    def decode(self, call: StoreCall, response: HttpResponse) -> StoreAnswer:
+        """Return the decoded answer to a read."""
+        if response.status == 0:
             return (
-                AnswerTooLarge() if found.body == TOO_LARGE else unanswered(found.body)
+                AnswerTooLarge()
+                if response.body == TOO_LARGE
+                else unanswered(response.body)
             )
         match call:
             case ReadPeer():
-                return decode_snapshot(found.status, found.body)
+                return decode_snapshot(response.status, response.body)
             case FollowReader():
-                return decode_feed(found.status, found.body)
+                return decode_feed(response.status, response.body)
             case _:
                 return self.adapter.decode_answer(
-                    call, found.status, found.body, found.headers
+                    call, response.status, response.body, response.headers
                 )
 
     def handle_store_answer(
         self, call: StoreCall, answer: StoreAnswer, sent_at: float
     ) -> None:
-        """Put in force what came back."""
+        """Pass an answer to the core and execute the resulting actions."""
         now = self.clock()
         self.perform(self.core.handle_store_answer(call, answer, sent_at, now), now)
 
-    # Who reads for the zone ----------------------------------------------------------
+    # Election of the zone reader ---------------------------------------------------
 
     def run_election(self, now: float) -> None:
-        """Make the next call for the choice of the zone's reader, if it is time."""
-        own = self.settings.peer_endpoint
-        call = self.core.next_election_call(own, self.claim_delay, now)
+        """Make the next election call if it is due."""
+        own_endpoint = self.settings.peer_endpoint
+        call = self.core.next_election_call(own_endpoint, self.claim_delay, now)
         if call is None:
             return
 
-        def done(found: HttpResponse) -> None:
-            self.handle_election_answer(call, self.decode_election(call, found), now)
+        def done(response: HttpResponse) -> None:
+            self.handle_election_answer(call, self.decode_election(call, response), now)
 
         request = self.adapter.encode_election_call(call)
         self.election.send(request, now + CALL_TIMEOUT, now, done)
 
     def decode_election(
-        self, call: ElectionCall, found: HttpResponse
+        self, call: ElectionCall, response: HttpResponse
     ) -> ElectionAnswer:
-        """Translate what came back of such a call."""
-        if found.status == 0:
-            return unanswered(found.body)
-        return self.adapter.decode_election_answer(call, found.status, found.body)
+        """Return the decoded answer to an election call."""
+        if response.status == 0:
+            return unanswered(response.body)
+        return self.adapter.decode_election_answer(call, response.status, response.body)
 
     def handle_election_answer(
         self, call: ElectionCall, answer: ElectionAnswer, sent_at: float
     ) -> None:
-        """Take what such a call brought."""
+        """Pass the answer to an election call to the core."""
         now = self.clock()
         actions = self.core.handle_election_answer(call, answer, sent_at, now)
         self.perform(actions, now)
 
 
 def unanswered(cause: bytes) -> Unanswered:
-    """Return that a call brought nothing, with the client's word on why."""
+    """Return a failed call with the cause that the client reported."""
     return Unanswered(cause.decode(errors="replace"))
 
 
-def news_request(call: FollowReader) -> HttpRequest:
-    """Return the request for what a reader has read."""
+def feed_request(call: FollowReader) -> HttpRequest:
+    """Return the request for the zone reader's change feed."""
     wait = round(call.wait * MILLISECONDS)
-    return HttpRequest("GET", f"{NEWS_PATH}?after={call.after_revision}&wait={wait}")
+    return HttpRequest(
+        "GET", f"{CHANGE_FEED_PATH}?after={call.after_revision}&wait={wait}"
+    )
--- a/citronspring/daemons/token_host.py
+++ b/citronspring/daemons/token_host.py
@@ -1,4 +1,4 @@
-"""The process of a host in token mode: sockets, signals and time around the core."""
+"""The process of a host in token mode: sockets, signals and timers around the core."""
 
 from __future__ import annotations
 
@@ -48,50 +48,51 @@
     from citronspring.host_settings import HostSettings
     from citronspring.tokens.messages import Action
 
-#: Datagrams read in a row before other sockets and timers have their turn.
+#: Datagrams read in a row before other sockets and timers are served.
 BATCH = 64
 
-#: Largest datagram read; larger ones are no packets.
+#: Largest datagram read in bytes; larger ones are not valid packets.
 MAX_DATAGRAM = 2048
 
-#: Kernel buffer asked for, bytes: what comes in while the process cannot run.
+#: Requested kernel receive buffer in bytes; holds what arrives while the process cannot
+#: run.
 RECEIVE_BUFFER = 1 << 20
 
-#: Seconds after the start for which packets wait in the kernel for a configuration.
-#: It is there after some 20 ms; a caller's opening that waits so long is served,
-#: and one that were dropped would come again only after 200 ms.
+#: Longest time in seconds after the start that packets stay queued in the kernel until
+#: a configuration arrives, usually some 20 ms. A queued opening is served; a dropped
+#: one would be retransmitted only after 200 ms.
 MAX_RECEIVE_DELAY = 1.0
 
-#: Seconds left before the process is killed when it stops by itself.
+#: Seconds before the process is killed at which it stops by itself.
 STOP_MARGIN = 0.7
 
-#: Seconds between two looks at the settings file, which may change without a signal.
+#: Seconds between two checks of the settings file, which may change without a signal.
 SETTINGS_INTERVAL = 2.0
 
-#: Longest sleep in seconds. A pause of the process within a sleep is only noticed
-#: once it is longer than what is left of it, so that packets may have waited for this
-#: time and the core's `PAUSE` together.
+#: Longest sleep in seconds. A stall of the process during a sleep is detected only if
+#: it exceeds the rest of the sleep, so packets may have waited for this time plus the
+#: core's `STALL_THRESHOLD`.
 MAX_SLEEP = 0.1
 
 
 def reader_times(settings: HostSettings) -> ReaderTimes:
-    """Return the limits of calls that settings ask for."""
+    """Return the timeouts of calls for the given settings."""
     return ReaderTimes.from_bounds(
         settings.change_bound, settings.settling_time, settings.link_rate
     )
 
 
 class TokenHost:
-    """One entry host in token mode.
+    """A host in token mode.
 
     Parameters
     ----------
     settings : HostSettings
-        Checked settings.
-    adapter : Translation
-        The adapter to the platform.
+        Validated settings.
+    adapter : PlatformAdapter
+        Adapter to the platform.
     prefetch : Prefetch, optional
-        A call to the store that is under way.
+        A call to the store that is already in progress.
     """
 
     def __init__(
@@ -109,8 +110,8 @@
             settings.host_id, settings.zone, reader_times(settings), len(settings.peers)
         )
         self.limit_follower_rate(settings)
-        # Until packets are read, the first turn lasts: what then has waited since the
-        # start for longer than a pause is too old to be placed.
+        # The first iteration lasts until packets are read: packets queued since the
+        # start for longer than a stall are too old to be placed.
         self.core.begin_iteration(self.started_at)
         self.log = LineLog(1, settings.host_id, adapter.format_flow)
         self.selector = Poller()
@@ -119,8 +120,8 @@
         self.messages = self.bind(self.settings.messages)
         self.selector.register(self.messages, EVENT_READ, self.read_messages)
         self.receiving = False
-        #: False while packets may still wait: after a pause of the process, answers
-        #: among them would count as missing if timers went first.
+        #: False while the socket may hold unread packets. Timers wait for it: after a
+        #: stall of the process, unread answers would otherwise count as missing.
         self.socket_drained = True
         self.calls = StoreCalls(
             self.core,
@@ -142,18 +143,18 @@
         self.settings_check_at = self.started_at + SETTINGS_INTERVAL
 
     def limit_follower_rate(self, settings: HostSettings) -> None:
-        """Set what followers may take of the host's link."""
+        """Limit the share of the host's link that followers may use."""
         self.core.tables.change_log.rate = LINK_SHARE * settings.link_rate
 
     def bind(self, endpoint: Endpoint) -> Socket:
-        """Return a socket that datagrams to an address come to."""
+        """Return a non-blocking UDP socket bound to an endpoint."""
         sock = Socket(AF_INET, SOCK_DGRAM)
         sock.setblocking(False)
         sock.bind((endpoint.ip, endpoint.port))
         return sock
 
     def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until the host may stop."""
         self.install_signal_handlers()
         self.write(STARTED.number, {"zone": self.settings.zone})
         while not self.stopping:
@@ -162,12 +163,12 @@
         self.log.flush()
 
     def run_once(self) -> None:
-        """Wait for something to do, and do it: packets first, then timers."""
+        """Run one iteration of the event loop: packets first, then timers."""
         sleep = self.sleep_time(boot_clock())
         ready = self.selector.select(sleep)
         if self.receiving and self.core.begin_iteration(boot_clock(), sleep):
-            # Interrupted by the end of a pause, the wait tells of no event; what has
-            # waited must be read before it can count as fresh.
+            # A wait that is interrupted by the end of a stall reports no events. Queued
+            # packets are read here before they could count as fresh.
             self.read_packets(EVENT_READ)
         for key, mask in ready:
             key.data(mask)
@@ -183,7 +184,7 @@
         self.log.flush()
 
     def sleep_time(self, now: float) -> float:
-        """Return the seconds until a timer is due."""
+        """Return the seconds until the next timer is due."""
         until = min(self.core.next_deadline(now), now + MAX_SLEEP)
         return max(0.0, min(until, self.calls.next_deadline()) - now)
 
@@ -194,7 +195,7 @@
     # Packets ---------------------------------------------------------------------
 
     def start_receiving(self, now: float) -> None:
-        """Read packets once they can be placed, or have waited for too long."""
+        """Start reading packets once they can be placed or have waited too long."""
         if self.receiving:
             return
         if self.core.configured or now - self.started_at >= MAX_RECEIVE_DELAY:
@@ -202,34 +203,34 @@
             self.selector.register(self.packets, EVENT_READ, self.read_packets)
 
     def read_packets(self, mask: int) -> None:
-        """Decide about the packets that wait."""
+        """Read and handle a batch of queued packets."""
         now = boot_clock()
         self.socket_drained = False
-        taken = 0
-        while taken < BATCH:
+        count = 0
+        while count < BATCH:
             data = self.next_datagram()
             if self.socket_drained:
                 break
-            taken += 1
+            count += 1
             if data is not None:
                 self.handle_datagram(data, now)
-        if taken:
-            took = (boot_clock() - now) / taken
-            self.core.tables.histograms["decision"].record(took, taken)
+        if count:
+            seconds_each = (boot_clock() - now) / count
+            self.core.tables.histograms["decision"].record(seconds_each, count)
 
     def next_datagram(self) -> bytes | None:
-        """Return a datagram that waits, None where there is none to take."""
+        """Return the next queued datagram, None if there is none."""
         try:
             return self.packets.recv(MAX_DATAGRAM)
         except BlockingIOError:
             self.socket_drained = True
         except OSError:
-            # An earlier datagram met a closed port; it tells of no other.
+            # The error belongs to an earlier datagram sent to a closed port.
             self.core.tables.counters["receive-errors"] += 1
         return None
 
     def handle_datagram(self, data: bytes, now: float) -> None:
-        """Decide about one datagram."""
+        """Decode a datagram and pass it to the core."""
         try:
             packet = self.decode_packet(data)
         except MalformedPacketError as error:
@@ -237,15 +238,16 @@
             self.write(PACKET_DROPPED.number, {"reason": error.message})
             return
         if packet.flags & SYN:
-            # The process may have stood still within this turn, too.
+            # The process may also have stalled within this iteration.
             now = boot_clock()
             self.core.begin_iteration(now)
         self.perform(self.core.receive(packet, now), now)
 
     def perform(self, actions: list[Action], now: float) -> None:
-        """Do what the core decided."""
+        """Execute actions of the core."""
         for action in actions:
-            # Before each packet a match on classes costs as much as the decision.
+            # For each packet, a match on classes would cost as much as the decision
+            # itself.
             if type(action) is Forward:
                 self.forward(action)
                 continue
@@ -267,14 +269,14 @@
         self.send(data, target.endpoint)
 
     def reset(self, action: ResetCaller) -> None:
-        """Reset a caller's attempt."""
+        """Answer a caller's packet with a reset."""
         self.core.tables.counters[f"reset {action.reason.value}"] += 1
         data = self.adapter.encode_reset(action.packet)
         ip = self.adapter.caller_ip(action.packet)
         self.send(data, (ip, self.settings.packets.port))
 
     def drop(self, action: Drop) -> None:
-        """Count and log a packet that goes nowhere."""
+        """Count and log a dropped packet."""
         self.core.tables.counters[f"dropped {action.reason.value}"] += 1
         packet = action.packet
         fields: dict[str, object] = {
@@ -285,7 +287,7 @@
         self.write(PACKET_DROPPED.number, fields)
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
-        """Send a datagram; one that cannot be sent now is lost, as on any link."""
+        """Send a datagram; if the kernel rejects it, it is lost as on any link."""
         try:
             self.packets.sendto(data, address)
         except OSError:
@@ -294,7 +296,7 @@
     # Other hosts of the zone -----------------------------------------------------
 
     def read_messages(self, mask: int) -> None:
-        """Take what other hosts of the zone say."""
+        """Read and handle messages from other hosts of the zone."""
         counters = self.core.tables.counters
         for _ in range(BATCH):
             try:
@@ -302,7 +304,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # An earlier message met a host that has gone; it tells of no other.
+                # The error belongs to an earlier message to a host that has stopped.
                 counters["receive-errors"] += 1
                 return
             message = decode_message(data)
@@ -314,7 +316,7 @@
             self.perform(actions, now)
 
     def send_message(self, action: Tell) -> None:
-        """Send a message to another host; a lost one is made up for by the next."""
+        """Send a message to another host; a lost one is superseded by the next."""
         address = (action.to, self.settings.messages.port)
         try:
             self.messages.sendto(encode_message(action.message), address)
@@ -324,21 +326,21 @@
     # Readiness and signals -------------------------------------------------------
 
     def answer(self, path: str, connection: ServerConnection) -> tuple[int, str]:
-        """Answer a request to the readiness address."""
+        """Return the answer to a request at the readiness address."""
         if path == self.adapter.readiness_path:
             return (200, "ready\n") if self.core.ready else (503, "not ready\n")
         now = boot_clock()
         if path == "/state":
-            # Imported when it is first asked for: each module at start is dark time.
+            # Imported on first use: each module imported at start delays serving.
             import json
 
             return 200, json.dumps(self.core.dump(now), default=str) + "\n"
         if path == "/metrics":
             return 200, self.core.metrics(now)
-        return 404, "ask for the readiness path, /metrics or /state\n"
+        return 404, "unknown path; use the readiness path, /metrics or /state\n"
 
     def install_signal_handlers(self) -> None:
-        """Have signals wake the selector; their handlers run between turns."""
+        """Install signal handlers; a socket pair lets signals wake the selector."""
         receiver, sender = socketpair()
         receiver.setblocking(False)
         sender.setblocking(False)
@@ -351,23 +353,23 @@
         set_signal_handler(SIGUSR1, self.on_dump)
 
     def clear_wakeups(self, mask: int) -> None:
-        """Read what a signal wrote to wake the selector."""
+        """Read the bytes that signals wrote to wake the selector."""
         self.wakeup_sockets[0].recv(64)
 
     def on_stop(self, number: int, frame: object) -> None:
-        """Leave: turn unready, forward on, then stop."""
+        """Start a graceful shutdown: report unready, keep forwarding, then stop."""
         now = boot_clock()
         self.write(SIGNAL.number, {"signal": number})
         deadline = now + max(0.0, self.settings.stop_grace - STOP_MARGIN)
         self.perform(self.core.leave(deadline, now), now)
 
     def on_settings(self, number: int, frame: object) -> None:
-        """Read the settings again, as a signal asks for."""
+        """Reload the settings on SIGHUP."""
         self.write(SIGNAL.number, {"signal": number})
         self.read_settings()
 
     def check_settings(self, now: float) -> None:
-        """Read the settings again if their file has changed without a signal."""
+        """Reload the settings if their file has changed."""
         if now < self.settings_check_at:
             return
         self.settings_check_at = now + SETTINGS_INTERVAL
@@ -377,7 +379,7 @@
             self.read_settings()
 
     def read_settings(self) -> None:
-        """Put settings in force; bad ones change nothing."""
+        """Apply the settings; invalid ones change nothing."""
         try:
             settings = self.adapter.read_settings()
         except SettingsError as error:
@@ -391,5 +393,5 @@
         self.core.times = reader_times(settings)
 
     def on_dump(self, number: int, frame: object) -> None:
-        """Write the state of the process."""
+        """Log a dump of the state on SIGUSR1."""
         self.write(STATE_DUMP.number, {"state": self.core.dump(boot_clock())})
--- a/tests/test_daemons/test_control.py
+++ b/tests/test_daemons/test_control.py
@@ -45,10 +45,10 @@
 async def test_host_takes_its_configuration_from_a_peer_when_the_platform_is_down(
     snapshot,
 ):
-    """The platform goes down and a host is replaced.
+    """The platform is down when a host is replaced.
 
-    Read from the platform alone, its configuration would be missing and the
-    host would drop every packet. It joins by its peers and copies theirs.
+    If the host could read only the platform, it would have no configuration and drop
+    every packet. It joins through its peers and gets a snapshot transfer from them.
     """
     async with anyio.create_task_group() as group:
         sources = [
@@ -69,10 +69,10 @@
 
 
 async def test_forged_and_replayed_datagrams_change_nothing_and_are_counted(snapshot):
-    """Somebody on the network says, in datagrams of its own, that a host leaves.
+    """An attacker on the network sends datagrams that announce a host's shutdown.
 
-    Believed, its flows would be moved and the host left idle. Under another key
-    the digest is wrong; a copy of a genuine datagram is counted as replayed.
+    If they were accepted, the host's flows would move and it would idle. With another
+    key the digest is wrong; a copy of an authentic datagram is counted as replayed.
     """
     async with anyio.create_task_group() as group:
         sources = [StaticConfiguration(snapshot), StaticConfiguration(snapshot)]
@@ -99,7 +99,7 @@
 
 
 class ScriptedSource(StaticConfiguration):
-    """A platform that fails so many times first."""
+    """A platform whose first calls fail, as often as given."""
 
     failures = 2
 
@@ -111,7 +111,7 @@
 
 
 class RecordingCore:
-    """Keeps what it is told."""
+    """Records the events that it receives."""
 
     def __init__(self):
         self.tables = Tables("host-0", ZONES[0], "entry", 1)
@@ -127,10 +127,10 @@
     return core, PlatformReader(core, source, anyio.current_time, lambda actions: None)
 
 
-async def test_failed_read_is_tried_again_at_a_stored_time(snapshot):
+async def test_failed_read_is_retried_at_a_stored_time(snapshot):
     """The platform fails twice and then answers.
 
-    The reader must not end with the first error, nor call without pause.
+    The reader must neither stop at the first error nor retry without a delay.
     """
     core, reader = make_reader(ScriptedSource(snapshot))
     started = anyio.current_time()
@@ -145,11 +145,11 @@
     assert reader.retry_at - started >= 1.5
 
 
-async def test_read_from_before_a_freeze_bears_the_time_it_was_asked(snapshot):
-    """The process stands still while a read is under way.
+async def test_read_across_a_stall_carries_its_request_time(snapshot):
+    """The process stalls during a read.
 
-    Its answer tells what was, and would let packets that waited through. The core
-    sees by the time of the question that it is no proof.
+    The answer is outdated and would let delayed packets pass. The core must see from
+    the time of the request that it proves nothing.
     """
     core, reader = make_reader(StaticConfiguration(snapshot))
     core.tables.revision = 1
@@ -159,7 +159,7 @@
     assert core.events == [RecordsRead((), asked_at=5.0)]
 
 
-async def test_records_that_are_forgotten_are_replaced_by_a_snapshot():
+async def test_missing_records_are_replaced_by_a_snapshot():
     class Forgetful(StaticConfiguration):
         async def read_records(self, after_revision):
             return None
@@ -169,13 +169,13 @@
     assert await reader.read_event(5, 1.0) == SnapshotRead(newest, 1.0)
 
 
-async def test_confirmation_that_the_platform_may_have_lost_is_told_again(
+async def test_confirmation_is_repeated_in_case_the_platform_lost_it(
     snapshot, monkeypatch
 ):
-    """A platform comes back from a copy without what a zone had confirmed.
+    """The platform is restored from a backup that lacks a zone's confirmation.
 
-    The zone's reader knew that it had told it. No address could leave an account any
-    more, until the next change.
+    The zone reader remembered that it had confirmed. No address could be removed from
+    an account until the next change.
     """
     source = StaticConfiguration(snapshot)
     _, reader = make_reader(source)
@@ -204,11 +204,12 @@
 
 
 async def test_second_system_on_the_machine_gets_ports_of_its_own(snapshot):
-    """Tests run side by side, and a host of one cannot listen on its address.
+    """Tests run in parallel, and a host of one cannot bind its address.
 
-    A system that was described but not started let its range of ports go as soon as
-    nothing named it; its hosts went on with them. Another worker took the same range:
-    "cannot listen on 127.0.1.1:20003: Address already in use", once in a whole run.
+    A system that was described but not started released its port range once nothing
+    referred to it, while its hosts still used the ports. Another worker took the same
+    range: "cannot listen on 127.0.1.1:20003: Address already in use", once in a full
+    run.
     """
     async with anyio.create_task_group() as group:
         ports = set()
--- a/tests/test_daemons/test_http_client.py
+++ b/tests/test_daemons/test_http_client.py
@@ -1,4 +1,4 @@
-"""Calls over one connection: what comes slowly is waited for, silence is not."""
+"""HTTP client: slow answers are awaited, stalled ones are abandoned."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from citronspring.endpoints import Endpoint
 from citronspring.http_request import HttpRequest
 
-#: Turns of the selector within which bytes on loopback arrive.
+#: Iterations of the selector within which bytes arrive on loopback.
 TURNS = 20
 
-#: Seconds until a call is given up of which nothing comes back.
+#: Timeout in seconds of a call without any answer.
 PATIENCE = 0.5
 
 
 class Call:
-    """A call to a server that the test plays, in a time that the test moves."""
+    """A call to a server played by the test, with a simulated clock."""
 
     def __init__(self, largest=1e6):
         self.selector = DefaultSelector()
@@ -44,17 +44,17 @@
         self.client.check_deadline(self.now)
 
     def give(self, data, seconds):
-        """Have some bytes come, some seconds after what came last."""
+        """Send bytes to the client, some seconds after the previous ones."""
         self.now += seconds
         self.server.sendall(data)
         self.turn()
 
 
-def test_answer_is_not_given_up_while_it_is_coming_in():
-    """A host never has a large configuration in force, though the store serves it.
+def test_slow_answer_with_progress_is_not_abandoned():
+    """A host never received a large configuration although the store served it.
 
     Its link takes 1.2 s for the answer. Half a second after the call it closed the
-    connection on what had come, and asked for all of it again: 10.4 MB in 24 s.
+    connection and requested all of it again: 10.4 MB in 24 s.
     """
     call = Call()
     call.give(b"HTTP/1.1 200 OK\r\nContent-Length: 700\r\n\r\n", 0.01)
@@ -63,10 +63,10 @@
     assert call.ended == [(200, b"x" * 700)]
 
 
-def test_answer_that_stops_coming_in_is_given_up():
-    """A connection goes silent in the middle of an answer, without a reset.
+def test_stalled_answer_is_abandoned():
+    """A connection stalls in the middle of an answer, without a reset.
 
-    Waited for without an end, nothing else would ever be asked.
+    Waiting forever would block all further calls.
     """
     call = Call()
     call.give(b"HTTP/1.1 200 OK\r\nContent-Length: 700\r\n\r\n", 0.01)
@@ -76,17 +76,17 @@
     assert call.ended == [(0, b"no answer in time")]
 
 
-def test_call_without_an_answer_is_given_up_at_its_deadline():
+def test_unanswered_call_is_abandoned_at_its_deadline():
     call = Call()
     call.now += PATIENCE
     call.turn()
     assert call.ended == [(0, b"no answer in time")]
 
 
-def test_answer_that_is_too_large_is_not_taken_in():
+def test_too_large_answer_is_rejected():
     """A watch is answered with 13 MB, which would fill the host's link for 21 s.
 
-    The head of the answer tells the size; the connection is closed on the rest.
+    The head of the answer gives the size; the connection is closed before the body.
     """
     call = Call(largest=100.0)
     call.give(b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\nxx", 0.01)
@@ -94,7 +94,7 @@
     assert call.client.sock is None
 
 
-def test_answer_that_does_not_tell_its_size_is_cut_at_the_largest():
+def test_chunked_answer_is_rejected_above_the_limit():
     call = Call(largest=100.0)
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     call.give(head + b"64\r\n" + b"x" * 100 + b"\r\n", 0.01)
@@ -103,7 +103,7 @@
     assert call.ended == [(0, TOO_LARGE)]
 
 
-def test_answer_of_the_largest_size_is_taken():
+def test_answer_of_the_largest_size_is_accepted():
     call = Call(largest=100.0)
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n"
     call.give(head + b"x" * 100, 0.01)
--- a/tests/test_daemons/test_http_server.py
+++ b/tests/test_daemons/test_http_server.py
@@ -1,4 +1,4 @@
-"""The server of readiness, copies and news, on real sockets."""
+"""The HTTP server of a host, on real sockets."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from citronspring.endpoints import Endpoint
 from citronspring.events import ANSWER_CUT
 
-#: Turns of the selector within which an answer must be there.
+#: Iterations of the selector within which an answer must arrive.
 TURNS = 200
 
 
 class Served:
-    """A server on loopback that answers with the path it was asked for."""
+    """A server on loopback with the given answer function."""
 
     def __init__(self, answer):
         self.selector = DefaultSelector()
@@ -50,10 +50,10 @@
 
 @pytest.mark.parametrize("cut", [1, 6, 10, 18, 30])
 def test_request_in_two_segments_is_read_whole(cut):
-    """A follower's request arrives in two segments of the link.
+    """A follower's request arrives in two TCP segments.
 
-    The parser tells of the path in two pieces. Kept alone, the second one named
-    nothing, the follower got 404, and turned to the store for seconds.
+    The parser reported the path in two pieces. Only the second one was kept, so the
+    follower got 404 and read the store for seconds.
     """
     served = Served(echo)
     client = served.connect()
@@ -73,8 +73,8 @@
         assert served.answer_of(client).endswith(f"\r\n\r\n{path}")
 
 
-def test_answer_may_come_later():
-    """What a follower waits for is not there yet; the connection is kept."""
+def test_reply_may_be_deferred():
+    """The change feed has nothing for a follower yet; its connection is kept open."""
     held = []
     served = Served(lambda path, connection: held.append(connection))
     client = served.connect()
@@ -87,7 +87,7 @@
     assert served.answer_of(client).endswith("news")
 
 
-def test_connection_that_is_closed_says_so():
+def test_closed_connection_is_reported_as_closed():
     held = []
     served = Served(lambda path, connection: held.append(connection))
     client = served.connect()
@@ -107,10 +107,10 @@
 
 
 def test_stalled_answer_is_closed_and_logged():
-    """A follower freezes in the middle of a large answer.
+    """A follower stops reading in the middle of a large answer.
 
-    What has not gone out is memory of the host's; after a second without a byte the
-    connection is closed, and the log tells how much was left.
+    Unsent bytes occupy the host's memory. After a second without progress the
+    connection is closed, and the log gives the number of unsent bytes.
     """
     served = Served(lambda path, connection: (200, "x" * 20_000_000))
     logged = []
@@ -131,11 +131,12 @@
     assert fields["left"] > 0
 
 
-def test_answer_beyond_a_socket_buffer_goes_out_whole():
-    """A follower that its reader answers with 200 KB finds the connection closed.
+def test_answer_larger_than_the_socket_buffer_is_sent_completely():
+    """A follower that is to receive 200 KB finds the connection closed.
 
-    The server sent what one write took and closed. Nine followers of three readers
-    were to get a difference of 1,400 routes that way: 626 "the connection was closed".
+    The server sent what one write accepted and closed the connection. Nine followers of
+    three readers were to get a difference of 1,400 routes that way: 626 times "the
+    connection was closed".
     """
     large = "x" * 20_000_000
     served = Served(lambda path, connection: (200, large))
--- a/tests/test_daemons/test_line_log.py
+++ b/tests/test_daemons/test_line_log.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded in number, never waited for, and what is left out is told."""
+"""The line log is rate-limited and non-blocking, and counts omitted lines."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def test_each_kind_has_a_budget_and_the_rest_is_counted(pipe):
-    """A flood of openings must not crowd out other lines, nor cost more."""
+    """A flood of openings must not displace other lines or cost more time."""
     reader, writer = pipe
     log = LineLog(writer, "host-1")
     for _ in range(10 * MAX_LINES_PER_SECOND):
@@ -54,7 +54,7 @@
 
 
 def test_full_pipe_blocks_nothing_and_bounds_memory(pipe):
-    """Whoever reads the log has stopped: lines are left out, serving goes on."""
+    """The reader of the log has stopped: lines are omitted, serving continues."""
     reader, writer = pipe
     log = LineLog(writer, "host-1")
     for second in range(200):
@@ -65,7 +65,7 @@
     assert log.omitted or b'"lines-left-out"' in log.buffer
 
 
-def test_closed_pipe_ends_nothing():
+def test_closed_pipe_does_not_raise():
     reader, writer = os.pipe()
     log = LineLog(writer, "host-1")
     os.close(reader)
--- a/tests/test_daemons/test_prefetch.py
+++ b/tests/test_daemons/test_prefetch.py
@@ -1,4 +1,4 @@
-"""The first call to the store is made before the rest of a host is imported."""
+"""The prefetch of the store's list while the rest of a host is imported."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def settings_with(store):
-    """Return settings of a host that names a store."""
+    """Return settings of a host with the given store."""
     own = Endpoint("127.0.0.1", 1)
     addresses = [own] * 4
     return HostSettings(
@@ -36,7 +36,7 @@
     )
 
 
-def test_answer_that_came_in_meanwhile_is_taken():
+def test_prefetched_answer_is_used():
     """The store answers while the host still imports its modules."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         endpoint, first = begin(listener)
@@ -56,14 +56,14 @@
 
 
 def test_unreachable_store_does_not_delay_the_start():
-    """Nothing listens at the store's address; the usual call fails and says so."""
+    """Nothing listens at the store's address; the regular call fails and logs it."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port = listener.getsockname()[1]
     endpoint = Endpoint("127.0.0.1", port)
     assert start_prefetch(endpoint, ListEntries(), REQUEST, 100.0) is None
 
 
-def test_call_that_stays_without_an_answer_is_given_up():
+def test_unanswered_prefetch_times_out():
     with socket.create_server(("127.0.0.1", 0)) as listener:
         endpoint, first = begin(listener)
         server, _ = listener.accept()
@@ -76,10 +76,10 @@
 
 
 def test_import_time_does_not_count_against_the_answer_deadline():
-    """A host on a busy machine imports for longer than a call may take.
+    """On a busy machine the imports take longer than the timeout of a call.
 
-    Counted from its sending, the call was given up before anything could read the
-    answer: the host called the store lost, and asked for its list once more.
+    With the timeout counted from the request, the call was abandoned before its answer
+    could be read: the host reported the store lost and requested the list again.
     """
     with socket.create_server(("127.0.0.1", 0)) as listener:
         endpoint, first = begin(listener)
--- a/tests/test_daemons/test_prober.py
+++ b/tests/test_daemons/test_prober.py
@@ -1,4 +1,4 @@
-"""The prober against health endpoints on real sockets."""
+"""The prober with health endpoints on real sockets."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 async def probe_all(healths, extra=None, rounds=1):
-    """Probe endpoints by name, one round after the other; return the results."""
+    """Probe endpoints by name in several rounds; return the results."""
     results = []
     endpoints = dict(extra or {})
     prober = Prober(endpoints.get, results.append)
@@ -61,10 +61,10 @@
     assert [item.healthy for item in results] == [True, True, True, True, False]
 
 
-async def test_no_good_answer_is_an_unhealthy_one():
-    """A server that hangs, is gone, or talks nonsense is not called healthy.
+async def test_failed_probe_counts_as_unhealthy():
+    """A target that hangs, is gone, or sends invalid answers is not reported healthy.
 
-    Its probe ends within its time, in one of a few tasks; the others go on.
+    Its probe ends within the timeout, in one of a few tasks; the others continue.
     """
     healths = {
         "hangs": HealthEndpoint(delay=60.0),
@@ -80,7 +80,7 @@
 
 
 async def test_error_status_and_endless_answer_are_unhealthy():
-    """A server that answers without end costs a few kilobytes, not the memory."""
+    """An endless answer costs a few kilobytes of memory."""
     chunks = []
 
     async def endless():
@@ -101,7 +101,7 @@
     prober.close()
 
 
-async def test_probes_are_bounded_and_one_a_target(monkeypatch):
+async def test_probes_are_limited_and_one_per_target(monkeypatch):
     monkeypatch.setattr(prober_module, "MAX_QUEUED", 3)
     prober = Prober({}.get, [].append)
     for name in ("a", "a", "b", "c", "d", "e"):
@@ -119,7 +119,7 @@
 
 
 async def test_probe_results_reach_the_core(snapshot):
-    """What a server's endpoint says reaches the host's decisions."""
+    """The answer of a target's health endpoint reaches the host's core."""
     async with anyio.create_task_group() as group:
         where = await group.start(serve_health, HealthEndpoint(lie=True), ANY_PORT)
         [first, *others] = snapshot.accounts[0].targets
--- a/tests/test_daemons/test_refusal.py
+++ b/tests/test_daemons/test_refusal.py
@@ -1,4 +1,4 @@
-"""What a refused caller reads."""
+"""The text that a refused caller receives."""
 
 from __future__ import annotations
 
--- a/tests/test_daemons/test_signals.py
+++ b/tests/test_daemons/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that a host process takes."""
+"""Signals handled by a host process."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 async def test_sigusr1_dumps_the_state_and_serving_goes_on(snapshot, capsys):
-    """An operator asks a running host what it does.
+    """An operator requests the state of a running host.
 
-    SIGUSR1 reaches the process while it serves. Its default action would kill the
-    process and break every flow; here one line of JSON appears on standard error.
+    SIGUSR1 arrives while the process serves. Its default action would kill the process
+    and break every flow; instead, one line of JSON is written to standard error.
     """
     async with anyio.create_task_group() as group:
         system = Loopback(group, random.Random(1), ZONES)
--- a/tests/test_daemons/test_sockets.py
+++ b/tests/test_daemons/test_sockets.py
@@ -1,4 +1,4 @@
-"""Batched sockets: what the kernel drops is counted."""
+"""Batched sockets: datagrams dropped by the kernel are counted."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from citronspring.entities import Endpoint
 
 
-def test_datagrams_that_find_no_room_are_counted():
-    """A burst is longer than the socket's buffer while the process is busy.
+def test_datagrams_dropped_at_a_full_buffer_are_counted():
+    """A burst exceeds the socket's buffer while the process is busy.
 
-    Nobody else knows of the datagrams that the kernel threw away; without a count
-    callers' retransmissions would have no visible cause.
+    Only the kernel knows of the datagrams it dropped; without a count, callers'
+    retransmissions would have no visible cause.
     """
     receiver = bind_udp(Endpoint("127.0.0.1", 0))
     receiver.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
