--- a/citronspring/events.py
+++ b/citronspring/events.py
@@ -9,7 +9,7 @@
 
 
 class Level(LightEnum):
-    """How loud an event is; the names are structlog's."""
+    """Severity of an event, by the names that structlog uses."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -19,63 +19,66 @@
 
 @record
 class Event:
-    """One kind of log event. A number is never used again for another kind."""
+    """One kind of log event. A number is never reused for another kind."""
 
     number: int
-    #: Stable word for machines.
+    #: Stable name for programs.
     name: str
     level: Level
-    #: What happened, in one line.
+    #: What happened, in one sentence.
     message: str
-    #: What the reader can do about it; empty where nothing is to be done.
+    #: What the operator can do about it; empty if nothing has to be done.
     remedy: str = ""
 
 
 # 100 to 199: the process
 
-STARTED = Event(100, "started", Level.INFO, "The process serves.")
+STARTED = Event(100, "started", Level.INFO, "The process is serving.")
 STOPPED = Event(101, "stopped", Level.INFO, "The process has stopped.")
 LEAVING = Event(
     102,
     "leaving",
     Level.INFO,
-    "The host leaves: it takes no new flows and serves what is in flight until "
-    "it is quiet or the deadline passes.",
+    "The host is leaving: it accepts no new flows and serves the open ones "
+    "until they end or the deadline passes.",
 )
-SIGNAL = Event(103, "signal", Level.INFO, "A signal arrived.")
+SIGNAL = Event(103, "signal", Level.INFO, "A signal was received.")
 STATE_DUMP = Event(
-    104, "state-dump", Level.INFO, "The state of the process, as asked for by SIGUSR1."
+    104, "state-dump", Level.INFO, "The state of the process, requested by SIGUSR1."
 )
 UNKNOWN_EVENT = Event(
     105,
     "unknown-event",
     Level.WARNING,
-    "A part logged a number that is not in this catalogue.",
-    "Report it: the number and its fields are in the event.",
+    "An event was logged with a number that is not in this catalogue.",
+    "Report it as a bug, with the number and the fields of the event.",
 )
 
 # 200 to 299: configuration
 
 REVISION_APPLIED = Event(
-    200, "revision-applied", Level.INFO, "A configuration revision is in force here."
+    200,
+    "revision-applied",
+    Level.INFO,
+    "The host has applied a configuration revision.",
 )
 
 PLATFORM_READ_FAILED = Event(
     201,
     "platform-read-failed",
     Level.WARNING,
-    "The platform could not be read; the host serves what it has and tries again.",
-    "If it stays: look at the key-value service and the way to it.",
+    "Reading the platform failed; the host serves its current state and retries.",
+    "If it persists, check the key-value service and the network path to it.",
 )
 NOT_CONFIGURED = Event(
     202,
     "not-configured",
     Level.WARNING,
-    "The host starts without configuration: neither peers nor platform gave one.",
-    "Look at the key-value service and at the peers in the settings.",
+    "The host starts without a configuration; neither peers nor the platform had one.",
+    "Check the key-value service and the peers in the settings.",
 )
 
-# 300 to 399: what hosts tell each other
+# 300 to 399: communication between hosts
 
 CONTROL_WITHOUT_KEY = Event(
     300,
@@ -88,38 +91,38 @@
     301,
     "clock-jumped",
     Level.WARNING,
-    "The process stood still; it drops packets until it knows it is current.",
-    "If it happens again: look for pauses of the machine or for too little memory.",
+    "The process stalled; it drops packets until its state is confirmed current.",
+    "If it recurs, check the machine for stalls and for memory shortage.",
 )
 FENCE_LOWERED = Event(
     302,
     "fence-lowered",
     Level.INFO,
-    "The host forwards again after its clock had jumped.",
+    "The host forwards packets again after a clock jump.",
 )
 
 # 500 to 599: the administration API
 
 ADMIN_LISTENING = Event(
-    500, "admin-listening", Level.INFO, "The administration API takes requests."
+    500, "admin-listening", Level.INFO, "The administration API accepts requests."
 )
 ADMIN_LOOPBACK_ONLY = Event(
     501,
     "admin-loopback-only",
     Level.WARNING,
     "No token is configured: the administration API listens on loopback only, and "
-    "lets whoever reaches it do everything.",
-    "Add [[admin.tokens]] to the settings to reach it from elsewhere.",
+    "anyone who can connect to it has full access.",
+    "Add [[admin.tokens]] to the settings to allow access from other machines.",
 )
 ADMIN_CLEAR_TEXT = Event(
     502,
     "admin-clear-text",
     Level.WARNING,
-    "The administration API takes tokens over connections without TLS.",
+    "The administration API accepts tokens over connections without TLS.",
     "Set admin.certificate_file and admin.key_file.",
 )
 CHANGE_ACCEPTED = Event(
-    503, "change-accepted", Level.INFO, "An operator's change is committed."
+    503, "change-accepted", Level.INFO, "An operator's change was committed."
 )
 CHANGE_REFUSED = Event(
     504, "change-refused", Level.INFO, "An operator's change was refused."
@@ -128,33 +131,33 @@
     505,
     "change-outcome-unknown",
     Level.WARNING,
-    "The platform did not say whether an operator's change is committed.",
-    "Send the change again with the same change id.",
+    "The platform did not confirm whether an operator's change was committed.",
+    "Repeat the change with the same change id.",
 )
 REQUEST_FAILED = Event(
     506,
     "request-failed",
     Level.ERROR,
-    "A request to the administration API met an error that is a fault of the program.",
-    "Report it: the error is in the event.",
+    "A request to the administration API failed with an internal error.",
+    "Report it as a bug, with the error in the event.",
 )
 TOKEN_REFUSED = Event(
     507,
     "token-refused",
     Level.WARNING,
-    "A request came without a known token, or with one whose role is too low.",
-    "If it was an operator's: compare the token, and its role in the settings.",
+    "A request had no valid token, or one whose role lacks the permission.",
+    "If an operator sent it, check the token and its role in the settings.",
 )
 CHANGES_WRITTEN_AGAIN = Event(
     508,
     "changes-written-again",
     Level.WARNING,
-    "The platform had come back from an older copy; the accepted changes that it "
-    "lacked are written again.",
+    "The platform was restored from a backup; accepted changes that it lacked "
+    "are written again.",
 )
 
 
-# 600 to 699: flows kept by a token
+# 600 to 699: token mode
 
 OPENING_PLACED = Event(
     600, "opening-placed", Level.INFO, "An opening was sent to a target."
@@ -163,177 +166,180 @@
     601,
     "opening-refused",
     Level.INFO,
-    "An opening was reset at once; it has not run.",
-    "no-route: compare the address with the configuration. no-target: look at the "
-    "targets of the service. zone-drained: all of them are in zones that are drained; "
-    "end a drain. overloaded: its requests would be late; add targets.",
+    "An opening was refused with a reset; its request was not executed.",
+    "no-route: compare the address with the configuration. no-target: check the "
+    "targets of the service. zone-drained: all of them are in drained zones; "
+    "end a drain. overloaded: its requests would miss their latency objective; "
+    "add targets.",
 )
 FLOW_RESET = Event(
     602,
     "flow-reset",
     Level.WARNING,
-    "A flow was reset, because its target is gone or out of reach.",
-    "Look at the target, and at the links between its availability zone and the host.",
+    "A flow was reset because its target is gone or unreachable.",
+    "Check the target, and the links between its availability zone and the host.",
 )
 PACKET_DROPPED = Event(
     603,
     "packet-dropped",
     Level.INFO,
-    "A packet of a flow went nowhere; the reason says why.",
+    "A packet was dropped for the given reason.",
 )
 CONFIGURATION_APPLIED = Event(
-    610, "configuration-applied", Level.INFO, "A configuration is in force here."
+    610, "configuration-applied", Level.INFO, "The host has applied a configuration."
 )
 TARGET_CHANGED = Event(
-    611, "target-changed", Level.INFO, "A target has registered, or started to leave."
+    611, "target-changed", Level.INFO, "A target has registered, or is leaving."
 )
 TARGET_REMOVED = Event(
     612,
     "target-removed",
     Level.INFO,
-    "A target's entry is gone; it gets no new flows, those it has go on.",
+    "A target's entry was removed; it receives no new flows, open ones continue.",
 )
 TOKEN_TAKEN = Event(
     613,
     "token-taken",
     Level.WARNING,
-    "Two targets have the same token; the later one gets no flows.",
-    "Restart the target: it then has another number.",
+    "Two targets have the same token; the later one receives no flows.",
+    "Restart the target; its id then has another number, which gives another token.",
 )
 ENTRY_UNREADABLE = Event(
     614,
     "entry-unreadable",
     Level.WARNING,
-    "An entry of the store cannot be read; what was known before stays in force.",
-    "Look at the entry; the reason names the field.",
+    "An entry of the store is invalid; the last valid one remains in effect.",
+    "Check the entry; the reason gives the field.",
 )
 TARGET_RESTARTED = Event(
     615,
     "target-restarted",
     Level.INFO,
-    "A target has started again under its id; the flows it had are over.",
+    "A target has restarted under its id; its earlier flows have ended.",
 )
 ZONE_DRAIN_CHANGED = Event(
     616,
     "zone-drain-changed",
     Level.INFO,
-    "Operators drain an availability zone, or use it again.",
+    "The drain of an availability zone has started or ended.",
 )
 STORE_LOST = Event(
     620,
     "store-lost",
     Level.WARNING,
-    "The store gives no answer; the host serves what it knows and asks again.",
-    "If it stays: look at the store and at the way to it.",
+    "The store does not respond; the host serves its current state and retries.",
+    "If it persists, check the store and the network path to it.",
 )
 STORE_REGAINED = Event(
-    621, "store-regained", Level.INFO, "The store answers again after failures."
+    621, "store-regained", Level.INFO, "The store responds again after failures."
 )
 STORE_HISTORY_LOST = Event(
     622,
     "store-history-lost",
     Level.INFO,
-    "The store no longer knows what has changed; everything is read anew.",
+    "The store no longer has the requested history; the host lists it completely.",
 )
 COPY_TAKEN = Event(
     623,
     "copy-taken",
     Level.INFO,
-    "The store is away; a peer has given a copy of what it knows.",
+    "The store is unreachable; the host applied a peer snapshot.",
 )
 READER_CHANGED = Event(
     624,
     "reader-changed",
     Level.INFO,
-    "Another host, or none, reads the store for the availability zone.",
+    "The zone reader, which reads the store for the availability zone, has changed; "
+    "there may be none.",
 )
 FOLLOWING = Event(
     625,
     "following",
     Level.INFO,
-    "The host takes what the reader of its zone has read, and leaves the store alone.",
+    "The host follows the reader of its zone instead of reading the store.",
 )
 READER_LOST = Event(
     626,
     "reader-lost",
     Level.INFO,
-    "The reader of the zone is silent, behind or gone; the host reads the store.",
-    "If it stays: look at the reader that is named, and at its way to the store.",
+    "The zone reader is unresponsive, behind or gone; the host reads the store.",
+    "If it persists, check the given reader and its network path to the store.",
 )
 LEASE_TAKEN = Event(
-    627, "lease-taken", Level.INFO, "The host has a lease, to read for its zone."
+    627, "lease-taken", Level.INFO, "The host holds the lease of its zone's reader."
 )
 LEASE_LOST = Event(
     628,
     "lease-lost",
     Level.INFO,
-    "The lease has ended or was given up; another host may read for the zone.",
+    "The lease of the zone's reader expired or was released; another host may take it.",
 )
 CALL_FAILED = Event(
     629,
     "call-failed",
     Level.INFO,
-    "A call to the store or another host brought nothing that can be used.",
-    "If `received` is large: the link is slow for what it has to carry.",
+    "A call to the store or to another host failed.",
+    "If `received` is large, the link is too slow for its traffic.",
 )
-SETTINGS_READ = Event(630, "settings-read", Level.INFO, "The settings were read again.")
+SETTINGS_READ = Event(630, "settings-read", Level.INFO, "The settings were reloaded.")
 SETTINGS_BAD = Event(
     631,
     "settings-bad",
     Level.WARNING,
-    "The settings cannot be read; those in force stay in force.",
-    "Mend what the reason names.",
+    "The settings could not be reloaded; the previous ones remain in effect.",
+    "Correct the problem given as the reason.",
 )
 STORE_LISTED = Event(
     632,
     "store-listed",
     Level.INFO,
-    "The store has been read as a whole: `revision` is the store's, `known` what the "
-    "host had read up to, `epoch` and `known_epoch` how often the store had come back "
-    "from an older copy by then.",
+    "The store was listed completely: `revision` is the store's, `known` the one the "
+    "host had read up to; `epoch` and `known_epoch` are the numbers of restores from "
+    "a backup that belong to them.",
 )
 STORE_RESTORED = Event(
     633,
     "store-restored",
     Level.WARNING,
-    "The store has come back from an older copy: what it had acknowledged since is "
-    "gone, and it gives revisions out again.",
-    "Compare `revision` with `known`. Targets and operators write again what is "
-    "missing; make changes of the lost time again if they are not in force.",
+    "The store was restored from a backup: changes acknowledged since the backup "
+    "are lost, and revisions are reused.",
+    "Compare `revision` with `known`. Targets and operators rewrite missing entries; "
+    "repeat changes made since the backup that are not in effect.",
 )
 NEWS_REFUSED = Event(
     640,
     "news-refused",
     Level.INFO,
-    "A follower was sent to the store for what has changed.",
+    "A follower's poll of the change feed was refused; the follower reads the store.",
 )
 ANSWER_CUT = Event(
     641,
     "answer-cut",
     Level.INFO,
-    "A connection was closed before the whole answer had gone out.",
-    "If it is often the same host that asked: look at the way to it.",
+    "A connection was closed before the whole answer was sent.",
+    "If it is often the same host, check the network path to it.",
 )
 INQUIRY_ENDED = Event(
     650,
     "inquiry-ended",
     Level.INFO,
-    "The hosts of the zone were asked whether silent targets have answered them.",
-    "If few reply: look at the link of the zone's reader, which asks.",
+    "The hosts of the zone were asked whether unresponsive targets have answered them.",
+    "If few hosts reply, check the link of the zone reader, which asks them.",
 )
 TARGET_LOST = Event(
     651,
     "target-lost",
     Level.WARNING,
-    "No host of the zone has heard of a target that left several requests unanswered; "
-    "its flows are reset where that is safe, and new ones go elsewhere.",
-    "Look at the target and its link: its entry is still there.",
+    "A target left several requests unanswered, and no host of the zone has received "
+    "an answer from it; its flows are reset where that is safe, and new flows go to "
+    "other targets.",
+    "Check the target and its link; its entry still exists.",
 )
 LINES_LEFT_OUT = Event(
     690,
     "lines-left-out",
     Level.WARNING,
-    "Log lines of an event were left out, to bound the volume.",
+    "Log lines of an event were omitted to limit the volume.",
 )
 
 
@@ -345,7 +351,7 @@
 
 
 def number_of(event: Event) -> int:
-    """Return the number of an event, to sort by."""
+    """Return the number of an event, as a sort key."""
     return event.number
 
 
@@ -359,9 +365,9 @@
         "# Log events",
         "",
         "Each log line carries the `number`, name (as `event`), `level` and `message`",
-        "of one of these, and fields of its own. Numbers are never used again.",
+        "of one of these, and fields of its own. Numbers are never reused.",
         "",
-        "This page is made from `citronspring.events` by",
+        "This page is generated from `citronspring.events` by",
         "`python -m citronspring.events > docs/reference/events.md`.",
         "",
     ]
--- a/citronspring/histogram.py
+++ b/citronspring/histogram.py
@@ -1,10 +1,10 @@
-"""Latencies counted in buckets that double, cheap enough for every packet."""
+"""Latency histogram with doubling buckets, cheap enough for every packet."""
 
 from __future__ import annotations
 
 from citronspring.light_stdlib import bisect_left
 
-#: Upper ends of the buckets in seconds: 50 microseconds to 26 seconds.
+#: Upper bounds of the buckets in seconds: 50 microseconds to 26 seconds.
 BUCKETS = tuple(0.00005 * 2**step for step in range(20))
 
 
@@ -19,19 +19,19 @@
         self.total = 0.0
 
     def record(self, seconds: float, times: int = 1) -> None:
-        """Count a duration, or several of the same length."""
+        """Record a duration, or several of the same length."""
         self.counts[bisect_left(BUCKETS, seconds)] += times
         self.total += seconds * times
 
     def lines(self, name: str) -> list[str]:
-        """Return the lines of the Prometheus text format."""
+        """Return the histogram in the Prometheus text format."""
         lines = [f"# TYPE {name} histogram"]
-        below = 0
+        cumulative = 0
         for bound, count in zip(BUCKETS, self.counts, strict=False):
-            below += count
-            lines.append(f'{name}_bucket{{le="{bound:g}"}} {below}')
-        below += self.counts[-1]
-        lines.append(f'{name}_bucket{{le="+Inf"}} {below}')
+            cumulative += count
+            lines.append(f'{name}_bucket{{le="{bound:g}"}} {cumulative}')
+        cumulative += self.counts[-1]
+        lines.append(f'{name}_bucket{{le="+Inf"}} {cumulative}')
         lines.append(f"{name}_sum {self.total:g}")
-        lines.append(f"{name}_count {below}")
+        lines.append(f"{name}_count {cumulative}")
         return lines
--- a/citronspring/logs.py
+++ b/citronspring/logs.py
@@ -28,17 +28,17 @@
     from citronspring.messages import Action
     from citronspring.settings import LogsSection
 
-#: Fields whose values are never written.
+#: Fields whose values are never logged.
 SECRET_FIELDS = frozenset({"authorization", "key", "secret", "token"})
 
-#: Keys of each line that say which event it is; a field cannot replace them.
+#: Keys that identify the event in each line; fields of the event cannot replace them.
 EVENT_KEYS = frozenset({"number", "event", "name", "level", "message", "timestamp"})
 
 logger = structlog.get_logger(__name__)
 
 
 def configure_logs(logs: LogsSection) -> None:
-    """Write log events as the settings say."""
+    """Configure structlog according to the settings."""
     renderer: Any = structlog.processors.JSONRenderer(default=str)
     if logs.format == "console":
         renderer = structlog.dev.ConsoleRenderer(colors=False)
@@ -66,12 +66,12 @@
 
 
 def log(event: Event, **fields: object) -> None:
-    """Write one event of the catalogue."""
+    """Log an event of the catalogue."""
     log_fields(event, fields)
 
 
 def log_number(number: int, fields: Mapping[str, object]) -> None:
-    """Write the event that a part names by number, as the core does."""
+    """Log an event given by its number."""
     event = CATALOGUE.get(number)
     if event is None:
         log_fields(UNKNOWN_EVENT, {**fields, "unknown_number": number})
@@ -80,23 +80,23 @@
 
 
 def log_fields(event: Event, fields: Mapping[str, object]) -> None:
-    """Write an event; a field named like a key of the line gets an underscore."""
-    own = {
+    """Log an event; a field named like a key of the line gets an underscore."""
+    renamed = {
         f"{key}_" if key in EVENT_KEYS else key: value for key, value in fields.items()
     }
     write = getattr(logger, event.level.value)
-    write(event.name, number=event.number, message=event.message, **own)
+    write(event.name, number=event.number, message=event.message, **renamed)
 
 
 def write_dump(state: Mapping[str, object]) -> None:
-    """Write a state dump as one JSON line, whatever the level of the log."""
+    """Write a state dump as one JSON line, regardless of the log level."""
     line = {"number": STATE_DUMP.number, "event": STATE_DUMP.name, "state": state}
     sys.stderr.write(json.dumps(line, default=str) + "\n")
     sys.stderr.flush()
 
 
 def log_application(application: Application) -> None:
-    """Log the events of an application object."""
+    """Connect the events of an application object to the log."""
     application.connect("started", partial(log, STARTED))
     application.connect("stopped", partial(log, STOPPED))
     application.connect("revision-applied", log_revision)
@@ -104,12 +104,12 @@
 
 
 def log_revision(revision: int) -> None:
-    """Write that a revision is in force."""
+    """Log that a revision has been applied."""
     log(REVISION_APPLIED, revision=revision)
 
 
 def log_action(action: Action) -> None:
-    """Write the core's log events."""
+    """Log the log events among the core's actions."""
     match action:
         case Log():
             log_number(action.number, action.fields)
--- a/citronspring/metrics.py
+++ b/citronspring/metrics.py
@@ -1,4 +1,4 @@
-"""Timings and counts of a host, and their text for Prometheus."""
+"""Timings and counts of a host, in the text format of Prometheus."""
 
 from __future__ import annotations
 
@@ -27,40 +27,40 @@
     from citronspring.messages import Action, Event
     from citronspring.tables import OpeningRow, Tables
 
-#: Longest time a recorder tells apart; a longer one counts as this.
+#: Largest recorded time in microseconds; a longer one counts as this.
 MAX_MICROSECONDS = 3_600_000_000
 
-#: Significant digits of a recorded time. Two keep a recorder at 27 kB.
+#: Significant digits of a recorded time; two keep a recorder at 27 kB.
 SIGNIFICANT_DIGITS = 2
 
-#: One of so many decisions is timed: to time each would slow the path of packets.
+#: One in this many decisions is timed; timing each would slow the packet path.
 DECISION_SAMPLE = 16
 
 QUANTILES = (0.5, 0.99, 0.999)
 
 
 class TimeRecorder:
-    """Times in a histogram of fixed size."""
+    """Records times in a histogram of fixed size."""
 
     def __init__(self) -> None:
         self.histogram = HdrHistogram(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
 
     def record(self, seconds: float) -> None:
-        """Add one time."""
+        """Record one time."""
         microseconds = min(max(1, round(seconds * 1e6)), MAX_MICROSECONDS)
         self.histogram.record_value(microseconds)
 
     @property
     def count(self) -> int:
-        """How many times were added."""
+        """Number of recorded times."""
         return int(self.histogram.total_count)
 
     def total(self) -> float:
-        """Return the sum of all times, seconds."""
+        """Return the sum of all times in seconds."""
         return self.histogram.get_mean_value() * self.count / 1e6 if self.count else 0.0
 
     def quantiles(self) -> dict[float, float]:
-        """Return quantiles in seconds; empty before the first time."""
+        """Return the quantiles in seconds; empty if nothing is recorded."""
         if not self.count:
             return {}
         value = self.histogram.get_value_at_percentile
@@ -69,15 +69,15 @@
 
 @dataclass(slots=True)
 class RevisionLag:
-    """How long after first hearing of a revision this host had it in force."""
+    """Time from first learning of a revision until this host has applied it."""
 
     recorder: TimeRecorder = field(default_factory=TimeRecorder)
-    #: The first revision heard of and not in force yet, and when it was heard of.
+    #: The first revision that is known but not applied, and when it became known.
     pending_revision: int = 0
     pending_since: float = 0.0
 
     def observe(self, tables: Tables, now: float) -> None:
-        """Compare the newest revision that any host tells of with this host's."""
+        """Compare the newest revision reported by any host with this host's."""
         if self.pending_revision and tables.revision >= self.pending_revision:
             self.recorder.record(now - self.pending_since)
             self.pending_revision = 0
@@ -88,11 +88,11 @@
 
 
 class MeasuredBalancer(Balancer):
-    """The decision core with its times taken from outside."""
+    """The decision core, with timings taken around it."""
 
     def __init__(self, tables: Tables) -> None:
         super().__init__(tables)
-        #: From the caller's SYN to the answer of a target that the caller confirmed.
+        #: Time from the caller's SYN to the target's answer that the caller confirmed.
         self.opening_time = TimeRecorder()
         self.decision_time = TimeRecorder()
         self.revision_lag = RevisionLag()
@@ -101,8 +101,8 @@
         self.timer: Callable[[], float] = time.perf_counter
 
     def receive(self, event: Event, now: float) -> list[Action]:
-        """Handle one event, and time some."""
-        # No match on classes: before each packet it cost half of a decision.
+        """Handle one event; time a sample of packets."""
+        # A match on classes would take half as long as a decision for each packet.
         if isinstance(event, PacketReceived):
             flow = event.packet.flow
         elif isinstance(event, RelayReceived):
@@ -118,7 +118,7 @@
     def receive_measured(
         self, event: Event, flow: FlowKey, opening: OpeningRow | None, now: float
     ) -> list[Action]:
-        """Handle a packet that is to be timed, or belongs to an opening."""
+        """Handle a packet that is timed or belongs to an opening."""
         started_at = self.timer()
         actions = Balancer.receive(self, event, now)
         if self.until_next_sample <= 0:
@@ -129,7 +129,7 @@
         return actions
 
     def note_opening(self, flow: FlowKey, opening: OpeningRow, now: float) -> None:
-        """Record the time of an opening that has just become established."""
+        """Record the time of an opening that was established just now."""
         row = self.tables.flows.rows.get(flow)
         if flow in self.tables.openings or row is None:
             return
@@ -138,13 +138,13 @@
             self.opening_time.record(now - opening.deadline + limits.opening_timeout)
 
     def tick(self, now: float) -> list[Action]:
-        """Run the systems that act on time."""
+        """Run the timers of the core."""
         actions = super().tick(now)
         self.revision_lag.observe(self.tables, now)
         return actions
 
     def recorders(self) -> dict[str, TimeRecorder]:
-        """Return the recorders by the name of what they measure."""
+        """Return the recorders by the name of the measured quantity."""
         return {
             "opening_time": self.opening_time,
             "decision_time": self.decision_time,
@@ -165,7 +165,7 @@
 
 
 class HostCollector(Collector):
-    """Reads the tables of a core whenever the metrics are asked for."""
+    """Collects the metrics from the core's tables on each request."""
 
     def __init__(self, core: MeasuredBalancer) -> None:
         self.core = core
@@ -189,7 +189,7 @@
         yield family
 
     def collect_sizes(self) -> Iterator[Metric]:
-        """Yield how much the tables hold, and the revision."""
+        """Yield the sizes of the tables, and the revision."""
         tables = self.core.tables
         rows = GaugeMetricFamily(
             "citronspring_rows", "Rows of the tables.", labels=["table"]
@@ -204,7 +204,7 @@
         )
 
     def collect_hosts(self) -> Iterator[Metric]:
-        """Yield how many hosts are in each state."""
+        """Yield the number of hosts in each state."""
         family = GaugeMetricFamily(
             "citronspring_hosts", "Hosts by state, as seen here.", labels=["state"]
         )
@@ -229,7 +229,7 @@
 
 
 def summary_metric(name: str, recorder: TimeRecorder) -> Metric:
-    """Return a recorder as a summary."""
+    """Return a recorder as a summary metric."""
     full_name = f"citronspring_{name}_seconds"
     metric = Metric(full_name, f"{name.replace('_', ' ').capitalize()}.", "summary")
     for quantile, seconds in recorder.quantiles().items():
@@ -240,7 +240,7 @@
 
 
 def metrics_text(core: MeasuredBalancer) -> bytes:
-    """Return every metric of a core in the text format of Prometheus."""
+    """Return all metrics of a core in the text format of Prometheus."""
     registry = CollectorRegistry()
     registry.register(HostCollector(core))
     return generate_latest(registry)
--- a/citronspring/trail.py
+++ b/citronspring/trail.py
@@ -1,4 +1,4 @@
-"""Follows one flow, target or host through the logs of several hosts."""
+"""Finds the log lines about one flow, target or host in the logs of several hosts."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-#: Seconds before the first line of a flow from which a host's state is told: a store
-#: outage or a removed target that long ago may still decide.
+#: Seconds before the first line of a flow from which a host's events are included: a
+#: store outage or a removed target may still affect decisions that much later.
 CONTEXT_SECONDS = 15.0
 
-#: Events that tell what a host believed or could not know.
+#: Events that show what state a host had, or could not have.
 HOST_EVENTS = frozenset(
     event.number
     for event in (
@@ -45,24 +45,24 @@
 )
 TARGET_EVENTS = frozenset((TARGET_CHANGED.number, TARGET_REMOVED.number))
 
-#: Keys that each line has; the others are what decided.
+#: Keys of every line; the others are the fields of the event.
 COMMON_KEYS = frozenset(("time", "host", "number", "event", "level"))
 
 
 @dataclass(frozen=True, slots=True)
 class Trail:
-    """The lines about one thing, and what its hosts believed meanwhile."""
+    """Log lines about one flow, target or host, and events of the hosts involved."""
 
-    #: In the order of time.
+    #: Sorted by time.
     lines: tuple[dict[str, Any], ...]
-    #: Lines of the logs that are no log events.
+    #: Number of lines that are not log events.
     unreadable: int
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[dict[str, Any] | None]:
-    """Return the log events among lines of text; None for any other line.
+    """Yield the log events among lines of text; None for any other line.
 
-    A log collector may put words before the object; they are passed over.
+    Text that a log collector writes before the JSON object is ignored.
     """
     for text in texts:
         start = text.find('{"time":')
@@ -76,13 +76,13 @@
 
 
 def find_trail(name: str, texts: Iterable[str]) -> Trail:
-    """Return what logs tell of a flow, target or host.
+    """Return the log lines about a flow, target or host.
 
     Parameters
     ----------
     name : str
-        ``caller:port>service:port`` of a flow or a part of it, the id of a target,
-        or that of a host.
+        ``caller:port>service:port`` of a flow or a part of it, the id of a target, or
+        that of a host.
     texts : iterable of str
         Lines of the logs of any number of hosts, in any order.
     """
@@ -93,10 +93,10 @@
         else:
             lines.append(line)
     lines.sort(key=lambda line: float(line["time"]))
-    own = [line for line in lines if is_about(name, line)]
-    around = context_lines(own, lines) if own else []
-    kept = sorted((*own, *around), key=lambda line: float(line["time"]))
-    return Trail(tuple(kept), unreadable)
+    matching = [line for line in lines if is_about(name, line)]
+    context = context_lines(matching, lines) if matching else []
+    selected = sorted((*matching, *context), key=lambda line: float(line["time"]))
+    return Trail(tuple(selected), unreadable)
 
 
 def is_about(name: str, line: dict[str, Any]) -> bool:
@@ -108,29 +108,32 @@
 
 
 def context_lines(
-    own: list[dict[str, Any]], lines: list[dict[str, Any]]
+    matching: list[dict[str, Any]], lines: list[dict[str, Any]]
 ) -> list[dict[str, Any]]:
-    """Return what the hosts of some lines believed shortly before and meanwhile."""
-    begin, end = float(own[0]["time"]) - CONTEXT_SECONDS, float(own[-1]["time"])
-    hosts = {line.get("host") for line in own}
-    targets = {line.get("target") for line in own} - {None}
+    """Return the state events of the same hosts, from shortly before the lines on."""
+    begin, end = (
+        float(matching[0]["time"]) - CONTEXT_SECONDS,
+        float(matching[-1]["time"]),
+    )
+    hosts = {line.get("host") for line in matching}
+    targets = {line.get("target") for line in matching} - {None}
     return [
         line
         for line in lines
         if begin <= float(line["time"]) <= end
         and line.get("host") in hosts
-        and line not in own
+        and line not in matching
         and (line["number"] in HOST_EVENTS or concerns_targets(line, targets))
     ]
 
 
 def concerns_targets(line: dict[str, Any], targets: set[Any]) -> bool:
-    """Whether a line tells what became of one of some targets."""
+    """Whether a line reports a change of one of the given targets."""
     return line["number"] in TARGET_EVENTS and line.get("target") in targets
 
 
 def format_line(line: dict[str, Any]) -> str:
-    """Return a line for people: when, where, what, and what decided."""
+    """Return a line as readable text: time, host, message and fields."""
     event = CATALOGUE.get(line["number"])
     message = event.message if event is not None else line["event"]
     decided = ", ".join(
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""The catalogue of log events, and what is written of them."""
+"""The catalogue of log events, and the lines that are logged."""
 
 from __future__ import annotations
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Timings of the core and their text for Prometheus."""
+"""Timings of the core, and their text for Prometheus."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     assert abs(core.opening_time.quantiles()[0.5] - 0.5) < 0.01
 
 
-def test_one_decision_in_so_many_is_timed(snapshot):
+def test_decisions_are_timed_by_sampling(snapshot):
     core = make_measured(snapshot)
     ticks = itertools.count()
     core.timer = lambda: next(ticks) * 0.001
@@ -71,7 +71,7 @@
     assert abs(core.decision_time.quantiles()[0.99] - 0.001) < 0.0001
 
 
-def test_revision_lag_starts_when_a_host_first_tells_of_it(snapshot):
+def test_revision_lag_starts_when_a_host_first_reports_it(snapshot):
     core = MeasuredBalancer.from_config(make_host(0), [make_host(1)])
     core.receive(SnapshotRead(snapshot), 0.0)
     other = core.tables.hosts["host-1"]
--- a/tests/test_trail.py
+++ b/tests/test_trail.py
@@ -1,4 +1,4 @@
-"""From an id to a cause: the three walks of the operators' page, on kept logs."""
+"""From an id to a cause: the three examples of the operators' guide, on saved logs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def test_flow_lost_with_its_target():
-    """A bookseller's preview broke off: its target had stopped answering."""
+    """A preview request broke off because its target had become unresponsive."""
     trail = trail_of("100.64.0.7:40001", "target-lost.log")
     events = [line["event"] for line in trail.lines]
     assert events[-1] == "flow-reset"
@@ -31,14 +31,14 @@
 
 
 def test_opening_refused():
-    """An order was refused at once: no target of its service was left."""
+    """An order was refused: its service had no target left."""
     trail = trail_of("100.64.0.9:40007", "opening-refused.log")
     assert trail.lines[-1]["event"] == "opening-refused"
     assert trail.lines[-1]["reason"] == "no-target"
 
 
 def test_opening_refused_while_a_zone_is_drained():
-    """An upload was refused at once: all targets of its service were in one zone."""
+    """An upload was refused: all targets of its service were in a drained zone."""
     trail = trail_of("100.64.0.9:40011", "zone-drained.log")
     last = trail.lines[-1]
     assert (last["reason"], last["drained"]) == ("zone-drained", ["south"])
@@ -47,7 +47,7 @@
 
 
 def test_host_with_old_configuration():
-    """A caller of a new address got no answer: its host could not read the store."""
+    """A new address was not answered because its host could not read the store."""
     trail = trail_of("100.64.0.3:40020", "old-configuration.log")
     events = [line["event"] for line in trail.lines]
     assert events[-1] == "packet-dropped"
@@ -64,13 +64,13 @@
 
 
 @pytest.mark.parametrize("words", [["nobody"], []])
-def test_command_says_what_to_give(words, capsys):
+def test_command_reports_missing_arguments(words, capsys):
     path = str(SAMPLES / "target-lost.log")
     assert main(["explain", *words, path]) != 0
     assert capsys.readouterr().err
 
 
-def test_other_lines_are_passed_over():
+def test_other_lines_are_skipped():
     trail = find_trail(
         "x", ["no json", '{"time":1', '  3.1 host {"time":1,"number":100}']
     )
