--- a/tests/test_daemons/test_host.py
+++ b/tests/test_daemons/test_host.py
@@ -15,7 +15,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_upload_and_preview_come_back_whole(snapshot):
+async def test_upload_and_preview_complete(snapshot):
     async with anyio.create_task_group() as group:
         system = Loopback(group, random.Random(1), ZONES)
         await system.start()
--- a/tests/test_daemons/test_http_client.py
+++ b/tests/test_daemons/test_http_client.py
@@ -10,10 +10,10 @@
 from citronspring.http_request import HttpRequest
 
 #: Iterations of the selector within which bytes arrive on loopback.
-TURNS = 20
+ITERATIONS = 20
 
 #: Timeout in seconds of a call without any answer.
-PATIENCE = 0.5
+CALL_TIMEOUT = 0.5
 
 
 class Call:
@@ -28,26 +28,26 @@
         self.now = 100.0
         self.ended = []
         request = HttpRequest("GET", "/everything")
-        deadline = self.now + PATIENCE
+        deadline = self.now + CALL_TIMEOUT
         self.client.send(request, deadline, self.now, self.end, largest)
         self.server, _ = listener.accept()
         listener.close()
-        self.turn()
+        self.run_once()
 
     def end(self, answer):
         self.ended.append((answer.status, answer.body))
 
-    def turn(self):
-        for _ in range(TURNS):
+    def run_once(self):
+        for _ in range(ITERATIONS):
             for key, mask in self.selector.select(0.001):
                 key.data(mask)
         self.client.check_deadline(self.now)
 
-    def give(self, data, seconds):
+    def receive(self, data, seconds):
         """Send bytes to the client, some seconds after the previous ones."""
         self.now += seconds
         self.server.sendall(data)
-        self.turn()
+        self.run_once()
 
 
 def test_slow_answer_with_progress_is_not_abandoned():
@@ -57,9 +57,9 @@
     connection and requested all of it again: 10.4 MB in 24 s.
     """
     call = Call()
-    call.give(b"HTTP/1.1 200 OK\r\nContent-Length: 700\r\n\r\n", 0.01)
+    call.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 700\r\n\r\n", 0.01)
     for _ in range(7):
-        call.give(b"x" * 100, 0.2)
+        call.receive(b"x" * 100, 0.2)
     assert call.ended == [(200, b"x" * 700)]
 
 
@@ -69,17 +69,17 @@
     Waiting forever would block all further calls.
     """
     call = Call()
-    call.give(b"HTTP/1.1 200 OK\r\nContent-Length: 700\r\n\r\n", 0.01)
-    call.give(b"x" * 100, 0.2)
+    call.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 700\r\n\r\n", 0.01)
+    call.receive(b"x" * 100, 0.2)
     call.now += 1.01
-    call.turn()
+    call.run_once()
     assert call.ended == [(0, b"no answer in time")]
 
 
 def test_unanswered_call_is_abandoned_at_its_deadline():
     call = Call()
-    call.now += PATIENCE
-    call.turn()
+    call.now += CALL_TIMEOUT
+    call.run_once()
     assert call.ended == [(0, b"no answer in time")]
 
 
@@ -89,7 +89,7 @@
     The head of the answer gives the size; the connection is closed before the body.
     """
     call = Call(largest=100.0)
-    call.give(b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\nxx", 0.01)
+    call.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\nxx", 0.01)
     assert call.ended == [(0, TOO_LARGE)]
     assert call.client.sock is None
 
@@ -97,14 +97,14 @@
 def test_chunked_answer_is_rejected_above_the_limit():
     call = Call(largest=100.0)
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-    call.give(head + b"64\r\n" + b"x" * 100 + b"\r\n", 0.01)
+    call.receive(head + b"64\r\n" + b"x" * 100 + b"\r\n", 0.01)
     assert call.ended == []
-    call.give(b"1\r\nx\r\n", 0.01)
+    call.receive(b"1\r\nx\r\n", 0.01)
     assert call.ended == [(0, TOO_LARGE)]
 
 
 def test_answer_of_the_largest_size_is_accepted():
     call = Call(largest=100.0)
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n"
-    call.give(head + b"x" * 100, 0.01)
+    call.receive(head + b"x" * 100, 0.01)
     assert call.ended == [(200, b"x" * 100)]
--- a/tests/test_daemons/test_line_log.py
+++ b/tests/test_daemons/test_line_log.py
@@ -49,8 +49,8 @@
     events = [line["event"] for line in found]
     assert events.count(OPENING_PLACED.name) == MAX_LINES_PER_SECOND
     assert events.count(STARTED.name) == 2
-    (told,) = [line for line in found if line["number"] == LINES_LEFT_OUT.number]
-    assert told["lines"] == {str(OPENING_PLACED.number): 9 * MAX_LINES_PER_SECOND}
+    (summary,) = [line for line in found if line["number"] == LINES_LEFT_OUT.number]
+    assert summary["lines"] == {str(OPENING_PLACED.number): 9 * MAX_LINES_PER_SECOND}
 
 
 def test_full_pipe_blocks_nothing_and_bounds_memory(pipe):
--- a/tests/test_daemons/test_prefetch.py
+++ b/tests/test_daemons/test_prefetch.py
@@ -22,15 +22,15 @@
 CHUNK = 4096
 
 
-def begin(listener):
+def begin_prefetch(listener):
     endpoint = Endpoint("127.0.0.1", listener.getsockname()[1])
     return endpoint, start_prefetch(endpoint, ListEntries(), REQUEST, 100.0)
 
 
 def settings_with(store):
     """Return settings of a host with the given store."""
-    own = Endpoint("127.0.0.1", 1)
-    addresses = [own] * 4
+    unused = Endpoint("127.0.0.1", 1)
+    addresses = [unused] * 4
     return HostSettings(
         "host-1", "north", *addresses, (), store, 1e6, 1.0, 3.0, 4.0, 6.0
     )
@@ -39,14 +39,14 @@
 def test_prefetched_answer_is_used():
     """The store answers while the host still imports its modules."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        endpoint, first = begin(listener)
+        endpoint, prefetch = begin_prefetch(listener)
         server, _ = listener.accept()
     assert server.recv(CHUNK).startswith(b"GET /everything HTTP/1.1\r\n")
     server.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
     selector = DefaultSelector()
     client = HttpClient(selector, endpoint)
     ended = []
-    client.adopt(first.sock, 101.0, ended.append)
+    client.adopt(prefetch.sock, 101.0, ended.append)
     for key, mask in selector.select(1.0):
         key.data(mask)
     assert [(one.status, one.body) for one in ended] == [(200, b"{}")]
@@ -65,11 +65,11 @@
 
 def test_unanswered_prefetch_times_out():
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        endpoint, first = begin(listener)
+        endpoint, prefetch = begin_prefetch(listener)
         server, _ = listener.accept()
     client = HttpClient(DefaultSelector(), endpoint)
     ended = []
-    client.adopt(first.sock, 101.0, ended.append)
+    client.adopt(prefetch.sock, 101.0, ended.append)
     client.check_deadline(101.5)
     assert ended == [HttpResponse(0, b"no answer in time")]
     server.close()
@@ -82,9 +82,9 @@
     could be read: the host reported the store lost and requested the list again.
     """
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        endpoint, first = begin(listener)
+        endpoint, prefetch = begin_prefetch(listener)
         server, _ = listener.accept()
-    imported_at = first.sent_at + 5.0
+    imported_at = prefetch.sent_at + 5.0
     calls = StoreCalls(
         TokenBalancer.from_config("host-1", "north", TIMES),
         DefaultSelector(),
@@ -92,7 +92,7 @@
         PLATFORM_ADAPTER,
         lambda actions, now: None,
         lambda: imported_at,
-        first,
+        prefetch,
     )
     calls.run(imported_at)
     assert calls.store.busy
--- a/tests/test_daemons/test_prober.py
+++ b/tests/test_daemons/test_prober.py
@@ -121,10 +121,12 @@
 async def test_probe_results_reach_the_core(snapshot):
     """The answer of a target's health endpoint reaches the host's core."""
     async with anyio.create_task_group() as group:
-        where = await group.start(serve_health, HealthEndpoint(lie=True), ANY_PORT)
+        health_endpoint = await group.start(
+            serve_health, HealthEndpoint(lie=True), ANY_PORT
+        )
         [first, *others] = snapshot.accounts[0].targets
         account = with_targets(
-            snapshot.accounts[0], [replace(first, health=where), *others]
+            snapshot.accounts[0], [replace(first, health=health_endpoint), *others]
         )
         source = StaticConfiguration(Snapshot(1, (account,)))
         [daemon] = await start_hosts(group, [source])
@@ -133,6 +135,6 @@
         with anyio.fail_after(30):
             while row.health.prober_reports is None:
                 await anyio.sleep(0.005)
-        [note] = row.health.prober_reports.values()
-        assert not note.healthy
+        [report] = row.health.prober_reports.values()
+        assert not report.healthy
         group.cancel_scope.cancel()
--- a/tests/test_daemons/test_refusal.py
+++ b/tests/test_daemons/test_refusal.py
@@ -17,5 +17,5 @@
 def test_reported_retry_delay_is_never_too_short(now, wait):
     refusal = Refuse(PACKET, RefusalReason.ACCOUNT_RATE, now + wait)
     text = describe_refusal(refusal, now)
-    [told] = re.fullmatch(r"account-rate; retry after (.+) s", text).groups()
-    assert max(0.0, wait) - 1e-6 <= float(told) <= max(0.0, wait) + 0.1 + 1e-6
+    [delay] = re.fullmatch(r"account-rate; retry after (.+) s", text).groups()
+    assert max(0.0, wait) - 1e-6 <= float(delay) <= max(0.0, wait) + 0.1 + 1e-6
--- a/tests/test_http_messages.py
+++ b/tests/test_http_messages.py
@@ -9,16 +9,16 @@
 
 from citronspring.http_messages import MAX_HEAD_BYTES, MessageError, MessageReader
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
 CHUNKED = (
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     b"3\r\nabc\r\nA;x=1\r\n0123456789\r\n0\r\n\r\n"
 )
 EMPTY = b"HTTP/1.1 204 No Content\r\n\r\n"
-EARLY = b"HTTP/1.1 100 Continue\r\n\r\n" + ANSWER
+INTERIM_THEN_FINAL = b"HTTP/1.1 100 Continue\r\n\r\n" + RESPONSE
 REFUSED = b"HTTP/1.1 429 Too Many\r\ncontent-length:0\r\nConnection: close\r\n\r\n"
-OLD = b"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n"
-ANSWERS = [ANSWER, CHUNKED, EMPTY, REFUSED, OLD]
+HTTP_1_0 = b"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n"
+RESPONSES = [RESPONSE, CHUNKED, EMPTY, REFUSED, HTTP_1_0]
 
 REQUESTS = [
     b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -26,7 +26,7 @@
     b"POST /x HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi",
 ]
 
-NO_ANSWERS = [
+INVALID_RESPONSES = [
     b"nonsense\r\n\r\n",
     b"HTTP/1.1 abc OK\r\nContent-Length: 0\r\n\r\n",
     b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
@@ -85,7 +85,7 @@
 CUTS = st.lists(st.integers(min_value=0), max_size=12)
 
 
-@given(st.sampled_from(ANSWERS), CUTS)
+@given(st.sampled_from(RESPONSES), CUTS)
 def test_responses_match_the_reference_parser(data, cuts):
     expected = Expected(
         httptools.HttpResponseParser, lambda one: one.parser.get_status_code()
@@ -110,10 +110,10 @@
 
 
 def test_interim_response_is_skipped():
-    assert [m.status for m in read(EARLY, [3, 30], True)] == [200]
+    assert [m.status for m in read(INTERIM_THEN_FINAL, [3, 30], True)] == [200]
 
 
-@pytest.mark.parametrize("data", NO_ANSWERS)
+@pytest.mark.parametrize("data", INVALID_RESPONSES)
 def test_invalid_response_raises(data):
     with pytest.raises(MessageError):
         read(data, [], True)
--- a/tests/test_json_text.py
+++ b/tests/test_json_text.py
@@ -18,7 +18,7 @@
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
 )
 
-NO_JSON = ["", "{", "[1,]", "nul", "1 2", '{"a":}', '"a\nb"', "[NaN,", "{} x"]
+INVALID_JSON = ["", "{", "[1,]", "nul", "1 2", '{"a":}', '"a\nb"', "[NaN,", "{} x"]
 
 
 @given(VALUES)
@@ -29,13 +29,13 @@
     assert loads(f" \n{text}\t".encode()) == value
 
 
-@pytest.mark.parametrize("text", NO_JSON)
+@pytest.mark.parametrize("text", INVALID_JSON)
 def test_invalid_json_raises_value_error(text):
     with pytest.raises(ValueError, match="line 1|Expecting|Extra"):
         loads(text)
 
 
-@pytest.mark.parametrize("text", NO_JSON)
+@pytest.mark.parametrize("text", INVALID_JSON)
 def test_invalid_text_does_not_end_a_freshly_started_process(text):
     """Invalid settings are written, and the process ends instead of serving on.
 
--- a/tests/test_platform/process.py
+++ b/tests/test_platform/process.py
@@ -27,7 +27,7 @@
 READS = ("/api/kv-range", "/api/kv-watch")
 
 #: Last octets of the hosts' addresses, one per host.
-NUMBERS = itertools.count(20)
+LAST_OCTETS = itertools.count(20)
 
 CALLER = ("127.0.0.1", 40001)
 SERVICE = ("198.18.0.1", 8443)
@@ -66,7 +66,7 @@
 
     def __init__(self, folder):
         self.store = StoreStandIn()
-        self.ip = f"{loopback_net()}.{next(NUMBERS)}"
+        self.ip = f"{loopback_net()}.{next(LAST_OCTETS)}"
         self.seeds = []
         self.name = "host-1"
         self.target = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/tests/test_platform/test_settings.py
+++ b/tests/test_platform/test_settings.py
@@ -10,7 +10,7 @@
 from citronspring.errors import SettingsError
 from citronspring.platform.settings import decode_settings, read_settings
 
-GOOD = {
+VALID_SETTINGS = {
     "node_name": "host-1",
     "zone": "north",
     "listen_addrs": {
@@ -25,9 +25,9 @@
 }
 
 
-def changed(path, value):
+def settings_with(path, value):
     """Return the text of valid settings with one field changed; None removes it."""
-    table = json.loads(json.dumps(GOOD))
+    table = json.loads(json.dumps(VALID_SETTINGS))
     *sections, name = path.split(".")
     inner = table
     for section in sections:
@@ -40,7 +40,7 @@
 
 
 def test_reads_what_a_host_needs_and_ignores_the_rest():
-    settings = decode_settings(json.dumps(GOOD))
+    settings = decode_settings(json.dumps(VALID_SETTINGS))
     assert settings.host_id == "host-1"
     assert settings.packets == Endpoint("10.1.0.10", 8172)
     assert settings.store == Endpoint("10.200.1.7", 8169)
@@ -51,10 +51,10 @@
 
 def test_missing_host_limits_take_large_defaults():
     """A host without limits in its settings starts with the defaults."""
-    settings = decode_settings(json.dumps(GOOD))
+    settings = decode_settings(json.dumps(VALID_SETTINGS))
     assert (settings.processor_share, settings.link_rate) == (1.0, 125_000_000.0)
     limits = {"cpu_share": 0.163, "link_mbps": 5.0}
-    small = decode_settings(json.dumps({**GOOD, "limits": limits}))
+    small = decode_settings(json.dumps({**VALID_SETTINGS, "limits": limits}))
     assert (small.processor_share, small.link_rate) == (0.163, 625_000.0)
 
 
@@ -64,9 +64,9 @@
 
     With the longer bound, a drained zone would receive flows for too long.
     """
-    settings = decode_settings(changed(f"bounds.{name}", 2000))
+    settings = decode_settings(settings_with(f"bounds.{name}", 2000))
     assert settings.change_bound == 2.0
-    assert decode_settings(changed(f"bounds.{name}", 9000)).change_bound == 3.0
+    assert decode_settings(settings_with(f"bounds.{name}", 9000)).change_bound == 3.0
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
 )
 def test_bad_limit_is_named(limits, name):
     with pytest.raises(SettingsError, match=name):
-        decode_settings(json.dumps({**GOOD, "limits": limits}))
+        decode_settings(json.dumps({**VALID_SETTINGS, "limits": limits}))
 
 
 @pytest.mark.parametrize(
@@ -104,14 +104,14 @@
 )
 def test_bad_field_is_named_with_its_value_and_a_remedy(path, value):
     with pytest.raises(SettingsError) as caught:
-        decode_settings(changed(path, value))
+        decode_settings(settings_with(path, value))
     name = path.rpartition(".")[2]
     assert name in caught.value.message
     assert caught.value.remedy
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "1", "null"])
-def test_text_that_is_no_table_is_refused(text):
+def test_text_that_is_not_an_object_is_refused(text):
     with pytest.raises(SettingsError):
         decode_settings(text)
 
@@ -127,6 +127,6 @@
 
 def test_reads_the_file_that_the_variable_names(monkeypatch, tmp_path):
     path = tmp_path / "settings"
-    path.write_text(json.dumps(GOOD))
+    path.write_text(json.dumps(VALID_SETTINGS))
     monkeypatch.setenv("CITRONSPRING_BOOT", str(path))
     assert read_settings().zone == "north"
--- a/tests/test_platform/test_start.py
+++ b/tests/test_platform/test_start.py
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 #: Modules that cost more than the rest of the start together.
-HEAVY = (
+HEAVY_MODULES = (
     "anyio",
     "asyncio",
     "collections",
@@ -88,7 +88,7 @@
     """
     output = run(f"{IMPORT_HOST}; print(*sys.modules)", tmp_path)
     modules = set(output.split())
-    assert modules.isdisjoint(HEAVY), modules & set(HEAVY)
+    assert modules.isdisjoint(HEAVY_MODULES), modules & set(HEAVY_MODULES)
     assert len(modules) <= MAX_MODULES
 
 
--- a/tests/test_platform/test_store.py
+++ b/tests/test_platform/test_store.py
@@ -241,7 +241,7 @@
     assert good.target_id == "i-2"
 
 
-def test_value_that_is_no_base64_is_unreadable():
+def test_value_that_is_not_base64_is_unreadable():
     broken = {"key": "servers/i-1", "value": "%", "revision": 1}
     assert only_entry(page(broken)).name == "i-1"
 
