--- a/citronspring/daemons/follower_server.py
+++ b/citronspring/daemons/follower_server.py
@@ -71,13 +71,13 @@
         if path == SNAPSHOT_PATH:
             # Peer snapshots to all hosts that start together would saturate the link.
             if self.server.sending:
-                return 503, b"a peer snapshot is being sent to another host\n"
+                return 503, b"another host is being answered\n"
             return self.core.snapshot(now)
         poll = read_poll(path, connection.host, now)
         if poll is None:
             return (
                 404,
-                f"unknown path; use {SNAPSHOT_PATH} or {CHANGE_FEED_PATH}\n".encode(),
+                f"ask for {SNAPSHOT_PATH} or {CHANGE_FEED_PATH}\n".encode(),
             )
         answer = self.answer_poll(poll, now)
         if answer is None:
--- a/citronspring/daemons/token_host.py
+++ b/citronspring/daemons/token_host.py
@@ -337,7 +337,7 @@
             return 200, json.dumps(self.core.dump(now), default=str) + "\n"
         if path == "/metrics":
             return 200, self.core.metrics(now)
-        return 404, "unknown path; use the readiness path, /metrics or /state\n"
+        return 404, "ask for the readiness path, /metrics or /state\n"
 
     def install_signal_handlers(self) -> None:
         """Install signal handlers; a socket pair lets signals wake the selector."""
