--- a/tests/test_daemons/test_prefetch.py
+++ b/tests/test_daemons/test_prefetch.py
@@ -1,4 +1,4 @@
-"""The first call to the store is made before the rest of a host is imported."""
+"""The prefetch of the store's list while the rest of a host is imported."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
 CHUNK = 4096
 
 
-def begin(listener):
+def begin_prefetch(listener):
     endpoint = Endpoint("127.0.0.1", listener.getsockname()[1])
     return endpoint, start_prefetch(endpoint, ListEntries(), REQUEST, 100.0)
 
 
 def settings_with(store):
-    """Return settings of a host that names a store."""
-    own = Endpoint("127.0.0.1", 1)
-    addresses = [own] * 4
+    """Return settings of a host with the given store."""
+    unused = Endpoint("127.0.0.1", 1)
+    addresses = [unused] * 4
     return HostSettings(
         "host-1", "north", *addresses, (), store, 1e6, 1.0, 3.0, 4.0, 6.0
     )
 
 
-def test_answer_that_came_in_meanwhile_is_taken():
+def test_prefetched_answer_is_used():
     """The store answers while the host still imports its modules."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        endpoint, first = begin(listener)
+        endpoint, prefetch = begin_prefetch(listener)
         server, _ = listener.accept()
     assert server.recv(CHUNK).startswith(b"GET /everything HTTP/1.1\r\n")
     server.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
     selector = DefaultSelector()
     client = HttpClient(selector, endpoint)
     ended = []
-    client.adopt(first.sock, 101.0, ended.append)
+    client.adopt(prefetch.sock, 101.0, ended.append)
     for key, mask in selector.select(1.0):
         key.data(mask)
     assert [(one.status, one.body) for one in ended] == [(200, b"{}")]
@@ -56,35 +56,35 @@
 
 
 def test_unreachable_store_does_not_delay_the_start():
-    """Nothing listens at the store's address; the usual call fails and says so."""
+    """Nothing listens at the store's address; the regular call fails and logs it."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port = listener.getsockname()[1]
     endpoint = Endpoint("127.0.0.1", port)
     assert start_prefetch(endpoint, ListEntries(), REQUEST, 100.0) is None
 
 
-def test_call_that_stays_without_an_answer_is_given_up():
+def test_unanswered_prefetch_times_out():
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        endpoint, first = begin(listener)
+        endpoint, prefetch = begin_prefetch(listener)
         server, _ = listener.accept()
     client = HttpClient(DefaultSelector(), endpoint)
     ended = []
-    client.adopt(first.sock, 101.0, ended.append)
+    client.adopt(prefetch.sock, 101.0, ended.append)
     client.check_deadline(101.5)
     assert ended == [HttpResponse(0, b"no answer in time")]
     server.close()
 
 
 def test_import_time_does_not_count_against_the_answer_deadline():
-    """A host on a busy machine imports for longer than a call may take.
+    """On a busy machine the imports take longer than the timeout of a call.
 
-    Counted from its sending, the call was given up before anything could read the
-    answer: the host called the store lost, and asked for its list once more.
+    With the timeout counted from the request, the call was abandoned before its answer
+    could be read: the host reported the store lost and requested the list again.
     """
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        endpoint, first = begin(listener)
+        endpoint, prefetch = begin_prefetch(listener)
         server, _ = listener.accept()
-    imported_at = first.sent_at + 5.0
+    imported_at = prefetch.sent_at + 5.0
     calls = StoreCalls(
         TokenBalancer.from_config("host-1", "north", TIMES),
         DefaultSelector(),
@@ -92,7 +92,7 @@
         PLATFORM_ADAPTER,
         lambda actions, now: None,
         lambda: imported_at,
-        first,
+        prefetch,
     )
     calls.run(imported_at)
     assert calls.store.busy
