--- a/citronspring/admin/application.py
+++ b/citronspring/admin/application.py
@@ -24,7 +24,7 @@
 
 
 async def show_openapi(call: Call) -> Response:
-    """Answer with the OpenAPI document."""
+    """Return the OpenAPI document."""
     return JsonResponse(make_openapi_document(OPERATIONS))
 
 
@@ -39,7 +39,13 @@
 
 
 def make_application(host: HostProcess, store: Configuration) -> Starlette:
-    """Make the application of one host; raises SettingsError on its tokens."""
+    """Return the ASGI application of one host.
+
+    Raises
+    ------
+    SettingsError
+        A token in the settings cannot be used.
+    """
     authenticator = Authenticator.from_settings(host.settings.admin)
     administration = Administration(host, store, authenticator)
     routes = [operation.to_route(administration) for operation in OPERATIONS]
@@ -49,16 +55,16 @@
 
 
 async def handle_http_exception(request: Request, error: Exception) -> Response:
-    """Answer what Starlette itself refuses."""
+    """Return the problem document of an error that Starlette raised."""
     return problem_response(translate_http_exception(error))
 
 
 def translate_http_exception(error: Exception) -> CitronspringError:
-    """Return the typed error of one that Starlette raised."""
+    """Return the typed error for an exception of Starlette."""
     match error:
         case HTTPException(status_code=HTTPStatus.NOT_FOUND):
             return NotFoundError("no such path", "see /v1/openapi.json")
         case HTTPException(status_code=HTTPStatus.METHOD_NOT_ALLOWED):
-            message = "the path does not take this method"
+            message = "the path does not support this method"
             return MethodNotAllowedError(message, "see /v1/openapi.json")
-    return MalformedRequestError("the request is not HTTP", "see /v1/openapi.json")
+    return MalformedRequestError("the request is malformed", "see /v1/openapi.json")
--- a/citronspring/admin/bodies.py
+++ b/citronspring/admin/bodies.py
@@ -1,4 +1,4 @@
-"""Request bodies: read within bounds, and validated."""
+"""Read request bodies, limited in size and time, and validate them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from starlette.requests import Request
 
-#: Seconds a body may take to arrive.
+#: Time-out for the complete body of a request, seconds.
 BODY_TIMEOUT_SECONDS = 10.0
 
 JSON_TYPE = "application/json"
@@ -28,13 +28,13 @@
 
 
 class ChangeBody(BaseModel):
-    """What the body of every change may carry."""
+    """Fields that the body of every change may have."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
 
-    #: Made once by the client and sent again with each retry.
+    #: Idempotency key: the client makes it once and sends it with every retry.
     change_id: str | None = Field(default=None, min_length=1, max_length=100)
-    #: Revision at which the operator saw the object; 0 expects none to exist.
+    #: Expected current revision of the object; 0 if it must not exist yet.
     if_revision: int | None = Field(default=None, ge=0, le=2**63)
 
 
@@ -53,26 +53,27 @@
 
 
 async def read_body(request: Request, model: type[Body], limit: int) -> Body:
-    """Read and validate a body; an empty one counts as an empty object.
+    """Return a validated body; an empty one counts as an empty object.
 
     Raises
     ------
     BodyTooLargeError, RequestTimeoutError, MalformedRequestError
-        Each before anything was changed.
+        The body cannot be used; nothing was changed.
     """
     data = await receive_bytes(request, limit)
     if data and request.headers.get("content-type", "").partition(";")[0] != JSON_TYPE:
         raise MalformedRequestError(
-            "the body is not announced as JSON", f"send Content-Type: {JSON_TYPE}"
+            "the Content-Type of the body is not JSON",
+            f"send Content-Type: {JSON_TYPE}",
         )
     return validate(parse(data) if data else {}, model)
 
 
 async def receive_bytes(request: Request, limit: int) -> bytes:
-    """Receive a body that may neither be large nor slow.
+    """Return the bytes of a body, limited in size and time.
 
-    Without the bounds a client could take a host's memory, or hold a connection
-    for ever, and so stop the packets of every account.
+    Without the limits a client could exhaust the host's memory or hold a connection
+    for ever, and so stop the packets of every client account.
     """
     data = bytearray()
     try:
@@ -81,19 +82,27 @@
                 data += chunk
                 if len(data) > limit:
                     raise BodyTooLargeError(
-                        f"the body has more than {limit} bytes", "send a smaller one"
+                        f"the body has more than {limit} bytes", "send a smaller body"
                     )
     except TimeoutError:
         raise RequestTimeoutError(
-            f"the body took more than {BODY_TIMEOUT_SECONDS:g} s", "send it again"
+            f"the body did not arrive within {BODY_TIMEOUT_SECONDS:g} s",
+            "send the request again",
         ) from None
     except ClientDisconnect:
-        raise MalformedRequestError("the body ended early", "send it again") from None
+        raise MalformedRequestError(
+            "the client disconnected before the end of the body",
+            "send the request again",
+        ) from None
     return bytes(data)
 
 
 def parse(data: bytes) -> Any:
-    """Parse JSON, strictly; raises MalformedRequestError."""
+    """Return the value of strict JSON; raises MalformedRequestError.
+
+    NaN, infinities and lone surrogates are rejected: they cannot be written back as
+    JSON in UTF-8.
+    """
     try:
         value = json.loads(data, parse_constant=refuse_constant)
         json.dumps(value, ensure_ascii=False).encode()
@@ -105,12 +114,12 @@
 
 
 def refuse_constant(name: str) -> None:
-    """Refuse NaN and the infinities, which are not JSON."""
+    """Raise ValueError for NaN and the infinities, which are not JSON."""
     raise ValueError(f"{name} is not a JSON number")
 
 
 def validate(value: Any, model: type[Body]) -> Body:
-    """Return a validated body; raises MalformedRequestError naming the key."""
+    """Return a validated body; raises MalformedRequestError that names the key."""
     try:
         return model.model_validate(value)
     except ValidationError as error:
--- a/citronspring/admin/configuration.py
+++ b/citronspring/admin/configuration.py
@@ -27,7 +27,7 @@
 
 
 async def list_templates(call: Call) -> Response:
-    """Answer with every template's name and revision."""
+    """Return the name and revision of every template."""
     catalog = await call.configuration.read_catalog()
     rows = [
         {"name": name, "revision": entry.revision}
@@ -37,8 +37,8 @@
 
 
 async def show_template(call: Call) -> Response:
-    """Answer with one template."""
-    entry = await call.configuration.read_template(call.path("name"))
+    """Return one template."""
+    entry = await call.configuration.read_template(call.path_parameter("name"))
     template = entry.template.model_dump(mode="json", exclude_defaults=True)
     content = {"name": entry.template.name, "revision": entry.revision}
     return JsonResponse(content | {"template": template})
@@ -47,10 +47,11 @@
 async def put_template(call: Call) -> Response:
     """Create or replace a template."""
     body = cast("PutTemplateBody", await call.read_change())
-    name = call.path("name")
+    name = call.path_parameter("name")
     if body.template.get("name", name) != name:
         raise MalformedRequestError(
-            "the template has another name than the path", "use one name"
+            "the name in the template differs from the name in the path",
+            "use the same name in both",
         )
     change = PutTemplate(
         change_id=call.change_id,
@@ -62,7 +63,7 @@
 
 
 async def list_accounts(call: Call) -> Response:
-    """Answer with a line for each client account."""
+    """Return a row for each client account."""
     catalog = await call.configuration.read_catalog()
     rows = [
         {
@@ -77,14 +78,14 @@
 
 
 async def show_account(call: Call) -> Response:
-    """Answer with one client account, as written and as rendered."""
-    account_id = call.path("account")
+    """Return one client account, both its parameters and the rendered result."""
+    account_id = call.path_parameter("account")
     entry = await call.configuration.read_account(account_id)
     return JsonResponse(describe_account(account_id, entry))
 
 
 def describe_account(account_id: str, entry: AccountEntry) -> dict[str, Any]:
-    """Return an account as plain values."""
+    """Return a client account as values that JSON can encode."""
     account = entry.rendered.account
     return {
         "account_id": account_id,
@@ -102,7 +103,7 @@
 
 
 def describe_target(target: Target) -> dict[str, Any]:
-    """Return a target as plain values."""
+    """Return a target as values that JSON can encode."""
     return {
         "target_id": target.target_id,
         "state": "leaving" if target.leaving else "active",
@@ -123,7 +124,7 @@
         change_id=call.change_id,
         author=call.principal.name,
         if_revision=body.if_revision,
-        account_id=call.path("account"),
+        account_id=call.path_parameter("account"),
         template=body.template,
         parameters=body.parameters,
     )
@@ -140,46 +141,46 @@
         change_id=call.change_id,
         author=call.principal.name,
         if_revision=body.if_revision if revision is None else revision,
-        account_id=call.path("account"),
+        account_id=call.path_parameter("account"),
     )
     return await call.commit(change)
 
 
 async def show_history(call: Call) -> Response:
-    """Answer with the last changes of a client account, newest first."""
-    account_id = call.path("account")
+    """Return the last changes of a client account, newest first."""
+    account_id = call.path_parameter("account")
     entry = await call.configuration.read_account(account_id)
     history = [asdict(item) for item in entry.history]
     return JsonResponse({"account_id": account_id, "history": history})
 
 
 async def change_target(
-    call: Call, kind: type[DrainTarget | UndrainTarget | PurgeTarget]
+    call: Call, change_type: type[DrainTarget | UndrainTarget | PurgeTarget]
 ) -> Response:
     """Commit a change of one target."""
     body = await call.read_change()
-    change = kind(
+    change = change_type(
         change_id=call.change_id,
         author=call.principal.name,
         if_revision=body.if_revision,
-        account_id=call.path("account"),
-        target_id=call.path("target"),
+        account_id=call.path_parameter("account"),
+        target_id=call.path_parameter("target"),
     )
     return await call.commit(change)
 
 
 async def drain_target(call: Call) -> Response:
-    """Let a target take no new flows."""
+    """Drain a target, so that it gets no new flows."""
     return await change_target(call, DrainTarget)
 
 
 async def undrain_target(call: Call) -> Response:
-    """Let a drained target take new flows again."""
+    """End the drain of a target, so that it gets new flows again."""
     return await change_target(call, UndrainTarget)
 
 
 async def purge_target(call: Call) -> Response:
-    """Forget a target that was removed before."""
+    """Delete the record of a target that was removed before."""
     return await change_target(call, PurgeTarget)
 
 
@@ -230,7 +231,7 @@
         f"{TARGET}/drain",
         Role.OPERATE,
         drain_target,
-        "Let a target take no new flows and keep the ones it has.",
+        "Drain a target: it gets no new flows and keeps the ones it has.",
         ChangeBody,
     ),
     Operation(
@@ -238,7 +239,7 @@
         f"{TARGET}/undrain",
         Role.OPERATE,
         undrain_target,
-        "Let a drained target take new flows again.",
+        "End the drain of a target: it gets new flows again.",
         ChangeBody,
     ),
     Operation(
@@ -246,7 +247,7 @@
         f"{TARGET}/purge",
         Role.OPERATE,
         purge_target,
-        "Forget a target that was removed from the account before.",
+        "Delete the record of a target that was removed from the account before.",
         ChangeBody,
     ),
 )
--- a/citronspring/admin/errors.py
+++ b/citronspring/admin/errors.py
@@ -1,4 +1,4 @@
-"""Errors that only the administration API answers with."""
+"""Errors that only the administration API returns."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class MalformedRequestError(CitronspringError):
-    """A request is not of the form the API documents."""
+    """A request does not have the documented form."""
 
     kind = "malformed-request"
 
 
 class UnauthorizedError(CitronspringError):
-    """A request carries no known token."""
+    """A request has no known token."""
 
     kind = "unauthorized"
 
@@ -24,32 +24,32 @@
 
 
 class MethodNotAllowedError(CitronspringError):
-    """A path does not take the method."""
+    """A path does not support the method."""
 
     kind = "method-not-allowed"
 
 
 class RequestTimeoutError(CitronspringError):
-    """A request's body did not arrive in time."""
+    """The body of a request did not arrive in time."""
 
     kind = "request-timeout"
 
 
 class BodyTooLargeError(CitronspringError):
-    """A request's body is larger than the settings allow."""
+    """The body of a request is larger than the settings allow."""
 
     kind = "body-too-large"
 
 
 class RateLimitedError(CitronspringError):
-    """A token makes more requests than the settings allow.
+    """A token is used for more requests than the settings allow.
 
     Parameters
     ----------
     message, remedy : str
         As for every error.
     wait_seconds : float
-        Seconds after which a request is taken again.
+        Seconds until the next request is admitted.
     """
 
     kind = "rate-limited"
@@ -60,6 +60,6 @@
 
 
 class InternalError(CitronspringError):
-    """The program has a fault."""
+    """A request met an unexpected exception."""
 
     kind = "internal"
--- a/citronspring/admin/openapi.py
+++ b/citronspring/admin/openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI document, made from the operations."""
+"""Generate the OpenAPI document from the operations."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def make_openapi_document(operations: Iterable[Operation]) -> dict[str, Any]:
-    """Return the document."""
+    """Return the OpenAPI document of these operations."""
     paths: dict[str, dict[str, Any]] = {}
     for operation in operations:
         methods = paths.setdefault(operation.path, {})
@@ -48,9 +48,9 @@
 
 
 def describe_operation(operation: Operation) -> dict[str, Any]:
-    """Return one operation of the document."""
+    """Return the OpenAPI object of one operation."""
     problem = {"$ref": "#/components/schemas/Problem"}
-    described: dict[str, Any] = {
+    operation_object: dict[str, Any] = {
         "summary": operation.summary,
         "operationId": operation.handle.__name__,
         "x-role": operation.role.name.lower(),
@@ -64,14 +64,16 @@
             for name in re.findall(r"{(\w+)}", operation.path)
         ],
         "responses": {
-            "2XX": {"description": "Done, or begun."},
+            "2XX": {"description": "Done, or started if the status is 202."},
             "default": {
-                "description": "A problem document; `kind` says which.",
+                "description": "A problem document; `kind` identifies the error.",
                 "content": {MEDIA_TYPE: {"schema": problem}},
             },
         },
     }
     if operation.body is not None:
         schema = operation.body.model_json_schema()
-        described["requestBody"] = {"content": {"application/json": {"schema": schema}}}
-    return described
+        operation_object["requestBody"] = {
+            "content": {"application/json": {"schema": schema}}
+        }
+    return operation_object
--- a/citronspring/admin/operations.py
+++ b/citronspring/admin/operations.py
@@ -1,4 +1,4 @@
-"""An operation of the API: its path, who may call it, and its guard."""
+"""Operations of the API: routes, access checks and error responses."""
 
 from __future__ import annotations
 
@@ -39,50 +39,51 @@
     from citronspring.admin.tokens import Authenticator, Principal
     from citronspring.configuration.changes import AnyChange
 
-#: Refused tokens that are logged, a second, so that guessing fills no log.
+#: Rate and burst of the log event for refused tokens, events a second and events.
+#: Without the limit, someone who guesses tokens could fill the log.
 REFUSALS_LOGGED_PER_SECOND = 1.0
 REFUSALS_LOGGED_BURST = 10.0
 
 
 @dataclass(slots=True)
 class Administration:
-    """What all operations share."""
+    """State that all operations share."""
 
     host: HostProcess
     configuration: Configuration
     authenticator: Authenticator
-    #: Seconds since the epoch, for what the configuration keeps.
+    #: Returns Unix time, seconds, for the times stored with changes.
     wall_clock: Callable[[], float] = time.time
     refusal_log_limit: GcraLimiter = field(default_factory=GcraLimiter)
 
 
 @dataclass(slots=True)
 class Call:
-    """One request that was let in."""
+    """One admitted request."""
 
     administration: Administration
     operation: Operation
     request: Request
     principal: Principal
-    #: The change it makes, once known.
+    #: Id of the change that the request makes; empty until it is known.
     change_id: str = ""
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration."""
+        """The configuration in the platform."""
         return self.administration.configuration
 
     @property
     def host(self) -> HostProcess:
-        """The process of this host."""
+        """The host process that serves the API."""
         return self.administration.host
 
-    def path(self, name: str) -> str:
-        """Return a part of the path."""
+    def path_parameter(self, name: str) -> str:
+        """Return the value of a path parameter."""
         return str(self.request.path_params[name])
 
     async def read_change(self) -> ChangeBody:
-        """Read the body of a change, and see that it has a change id."""
+        """Return the body of a change; sets the change id, a new one if it has none."""
         model = self.operation.body or ChangeBody
         limit = self.host.settings.admin.max_body_bytes
         body = await read_body(self.request, model, limit)
@@ -91,7 +92,7 @@
         return body
 
     async def commit(self, change: AnyChange) -> Response:
-        """Commit a change and say at which revision it is in force."""
+        """Commit a change; return a response with its revision."""
         now = self.administration.wall_clock()
         committed = await self.configuration.commit(change, now)
         log(
@@ -109,30 +110,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """One method of one path."""
+    """One HTTP method on one path."""
 
     method: str
     path: str
     role: Role
     handle: Handler
-    #: What it does, in one line.
+    #: One-line description.
     summary: str
-    #: Model of the body; None where it takes none.
+    #: Model of the request body; None if the operation has none.
     body: type[ChangeBody] | None = None
 
     def to_route(self, administration: Administration) -> Route:
-        """Return the route of Starlette."""
+        """Return the Starlette route."""
 
         async def endpoint(request: Request) -> Response:
-            return await answer(administration, self, request)
+            return await handle_request(administration, self, request)
 
         return Route(self.path, endpoint, methods=[self.method])
 
 
-async def answer(
+async def handle_request(
     administration: Administration, operation: Operation, request: Request
 ) -> Response:
-    """Answer a request; every error becomes a problem document."""
+    """Return the response to a request; every error becomes a problem document."""
     call = None
     try:
         principal = admit(administration, operation, request)
@@ -141,20 +142,23 @@
     except CitronspringError as error:
         return error_response(error, call)
     except Exception as error:
-        # One bad request must not end the process, which carries live flows.
+        # An exception in a request must not end the process, which carries live flows.
         log(REQUEST_FAILED, path=operation.path, error=repr(error))
-        return error_response(InternalError("the program has a fault", "see the log"))
+        return error_response(InternalError("internal error", "see the host's log"))
 
 
 def admit(
     administration: Administration, operation: Operation, request: Request
 ) -> Principal:
-    """Return who calls, if they may."""
+    """Return the principal of a request; raises an error if it is not admitted."""
     authenticator = administration.authenticator
     now = administration.host.clock()
     if authenticator.allows_anonymous and "origin" in request.headers:
-        # A web page that the operator visits could otherwise post to loopback.
-        raise ForbiddenError("web pages may not call", "configure a token")
+        # Without tokens, a web page that the operator visits could post to loopback.
+        # Browsers name the page in Origin.
+        raise ForbiddenError(
+            "requests from web pages are forbidden", "configure a token"
+        )
     try:
         principal = authenticator.authenticate(request.headers.get("authorization", ""))
         authenticator.admit(principal, now)
@@ -175,14 +179,14 @@
     operation: Operation,
     now: float,
 ) -> None:
-    """Log that a token was refused, at a bounded rate."""
+    """Log a refused token, at a limited rate."""
     limit = administration.refusal_log_limit
     if limit.admit(now, REFUSALS_LOGGED_PER_SECOND, REFUSALS_LOGGED_BURST):
         log(TOKEN_REFUSED, reason=error.message, path=operation.path)
 
 
 def error_response(error: CitronspringError, call: Call | None = None) -> Response:
-    """Return the problem document of an error, and log what it did to a change."""
+    """Return the problem document of an error; log the outcome of a change."""
     change_id = call.change_id if call else ""
     if call and change_id:
         unknown = isinstance(error, OutcomeUnknownError)
@@ -193,19 +197,19 @@
 
 
 def read_revision(text: str | None) -> int | None:
-    """Read ``if_revision`` of a query; raises MalformedRequestError."""
+    """Return ``if_revision`` of a query string; raises MalformedRequestError."""
     if text is None:
         return None
     if text.isascii() and text.isdecimal() and len(text) <= 18:
         return int(text)
-    raise MalformedRequestError("if_revision is no revision", "give a whole number")
+    raise MalformedRequestError("if_revision is not a revision", "give a whole number")
 
 
 def accepted_response(content: dict[str, object]) -> Response:
-    """Return the answer to something that has only begun."""
+    """Return the response to an operation that has started but not finished."""
     return JsonResponse(content, HTTPStatus.ACCEPTED.value)
 
 
 def seconds_until(deadline: float, now: float) -> int:
-    """Return whole seconds until a deadline."""
+    """Return the whole seconds until a deadline, at least 0."""
     return max(0, math.ceil(deadline - now))
--- a/citronspring/admin/port.py
+++ b/citronspring/admin/port.py
@@ -1,4 +1,4 @@
-"""What the administration API asks of the process around it."""
+"""Interfaces through which the administration API uses its host process."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
     """The configuration in the platform; see ``ConfigurationStore``."""
 
     def new_change_id(self, token: str) -> str:
-        """Make a change id from the newest revision known."""
+        """Return a change id made from the newest known revision."""
 
     async def commit(self, change: AnyChange, now: float) -> Committed:
-        """Put a change in force, once, however often it is sent."""
+        """Commit a change, once, however often it is sent."""
 
     async def read_catalog(self) -> Catalog:
-        """Read definitions, rendered accounts and histories of everything."""
+        """Return all templates and client accounts, rendered, with histories."""
 
     async def read_account(self, account_id: str) -> AccountEntry:
-        """Read one account with its history."""
+        """Return one client account with its history."""
 
     async def read_template(self, name: str) -> TemplateEntry:
-        """Read one template with its history."""
+        """Return one template with its history."""
 
 
 class HostProcess(Protocol):
-    """The process of this host; see ``HostDaemon``."""
+    """The host process; see ``HostDaemon``."""
 
     settings: Settings
     core: MeasuredBalancer
 
     def clock(self) -> float:
-        """Return seconds that never go back."""
+        """Return the monotonic time in seconds."""
 
     def leave(self) -> None:
-        """Start a graceful stop."""
+        """Start a graceful stop of the host."""
 
     def dump(self) -> dict[str, object]:
-        """Return the state of the process as plain values."""
+        """Return the state of the process as values that JSON can encode."""
--- a/citronspring/admin/problems.py
+++ b/citronspring/admin/problems.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from citronspring.errors import CitronspringError
 
-#: Status of each kind of error.
+#: HTTP status by kind of error.
 STATUS_BY_KIND = {
     "malformed-request": HTTPStatus.BAD_REQUEST,
     "unauthorized": HTTPStatus.UNAUTHORIZED,
@@ -39,14 +39,14 @@
     "internal": HTTPStatus.INTERNAL_SERVER_ERROR,
 }
 
-#: Seconds after which a client may ask again while the platform is out.
+#: Retry-After while the platform is unavailable, seconds.
 OUTAGE_RETRY_SECONDS = 2
 
 MEDIA_TYPE = "application/problem+json"
 
 
 class JsonResponse(Response):
-    """JSON that no text of an operator can make unencodable."""
+    """A JSON response, in ASCII so that any text of an operator can be encoded."""
 
     media_type = "application/json"
 
@@ -62,14 +62,14 @@
 
 
 def problem_response(error: CitronspringError, change_id: str = "") -> ProblemResponse:
-    """Return the answer to a request that met an error.
+    """Return the problem document of an error.
 
     Parameters
     ----------
     error : CitronspringError
-        What is wrong.
+        The error to report.
     change_id : str
-        The change of the request, so that the client can send it again.
+        Change id of the request, with which the client can retry it.
     """
     status = STATUS_BY_KIND.get(error.kind, HTTPStatus.INTERNAL_SERVER_ERROR)
     body = {
@@ -87,7 +87,7 @@
 
 
 def extra_members(error: CitronspringError) -> dict[str, Any]:
-    """Return the members that only some kinds have."""
+    """Return the members that only some kinds of errors have."""
     match error:
         case ConflictError():
             return {
@@ -106,7 +106,7 @@
 
 
 def error_headers(error: CitronspringError) -> dict[str, str]:
-    """Return the headers that tell a client what to do next."""
+    """Return the headers of an error: when to retry, how to authenticate."""
     match error:
         case RateLimitedError():
             return {"Retry-After": str(max(1, math.ceil(error.wait_seconds)))}
--- a/citronspring/admin/server.py
+++ b/citronspring/admin/server.py
@@ -1,4 +1,4 @@
-"""Serve the administration API beside the core, in one process."""
+"""Serve the administration API in the process of the balancer core."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     *,
     task_status: TaskStatus[Endpoint] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until cancelled; starts with the endpoint it listens on.
+    """Serve until cancelled; the task starts with the endpoint it listens on.
 
     Raises
     ------
@@ -48,7 +48,11 @@
 
 
 def tls_files(section: AdminSection) -> TlsFiles | None:
-    """Return the files of the certificate, once they are seen to fit."""
+    """Return the certificate files, None without TLS; raises SettingsError.
+
+    The files are loaded once, so that an unusable certificate is reported before the
+    server starts.
+    """
     if section.certificate_file is None or section.key_file is None:
         return None
     try:
@@ -64,25 +68,32 @@
 
 
 def reject_encrypted_key() -> str:
-    """Refuse an encrypted key, for which the library would ask the terminal."""
+    """Raise ValueError for an encrypted key.
+
+    Without this callback OpenSSL would prompt for the password on the terminal.
+    """
     raise ValueError("the key is encrypted")
 
 
 def listen_endpoint(settings: Settings) -> Endpoint:
-    """Return where to listen: without a token on loopback, whatever is set."""
-    wanted = settings.admin_endpoint
-    if settings.admin.tokens or ip_address(wanted.ip).is_loopback:
-        return wanted
-    loopback = "::1" if ":" in wanted.ip else "127.0.0.1"
-    return Endpoint(loopback, wanted.port)
+    """Return the endpoint to listen on.
+
+    Without tokens it is on loopback, whatever the settings say: anyone who reaches
+    the API may then change every client account.
+    """
+    configured = settings.admin_endpoint
+    if settings.admin.tokens or ip_address(configured.ip).is_loopback:
+        return configured
+    loopback = "::1" if ":" in configured.ip else "127.0.0.1"
+    return Endpoint(loopback, configured.port)
 
 
 def log_listening(settings: Settings, endpoint: Endpoint) -> None:
-    """Log where the API listens, and what is weak about it."""
+    """Log the endpoint, and a warning if there are no tokens or no TLS."""
     log(ADMIN_LISTENING, listen=str(endpoint))
     section = settings.admin
     if not section.tokens:
-        wanted = str(settings.admin_endpoint)
-        log(ADMIN_LOOPBACK_ONLY, listen=str(endpoint), configured=wanted)
+        configured = str(settings.admin_endpoint)
+        log(ADMIN_LOOPBACK_ONLY, listen=str(endpoint), configured=configured)
     elif section.certificate_file is None and not ip_address(endpoint.ip).is_loopback:
         log(ADMIN_CLEAR_TEXT, listen=str(endpoint))
--- a/citronspring/admin/status.py
+++ b/citronspring/admin/status.py
@@ -1,4 +1,4 @@
-"""Operations that show or stop this host; none needs the platform."""
+"""Operations that show or stop this host; none calls the platform."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 
 async def show_status(call: Call) -> Response:
-    """Answer with what this host knows of the whole system."""
+    """Return the state of the system as known to this host."""
     status = describe_status(call.host.core.tables, call.host.clock())
     return JsonResponse(status | {"newest_revision": newest_revision(call)})
 
 
 def newest_revision(call: Call) -> int:
-    """Return the newest revision known here, in force or not.
+    """Return the newest revision known to this host, applied or not.
 
-    Clients make their change ids from it: from an older one the configuration
-    could not tell that a change was never committed.
+    Clients make change ids from it. With an id made from an older revision the store
+    could not tell that the change was never committed.
     """
     stored = change_id_revision(call.configuration.new_change_id("status"))
     return max(stored, call.host.core.tables.revision)
@@ -68,7 +68,7 @@
 
 
 def describe_hosts(tables: Tables) -> list[dict[str, object]]:
-    """Return a row for each host known here."""
+    """Return a row for each host known to this host."""
     return [
         {
             "host": host_id,
@@ -81,7 +81,7 @@
 
 
 def describe_zones(tables: Tables) -> list[dict[str, object]]:
-    """Return how many hosts of each zone are alive, and their lowest revision."""
+    """Return the number of live hosts and their lowest revision, for each zone."""
     zones: dict[str, list[int]] = {}
     for row in tables.hosts.values():
         revisions = zones.setdefault(row.host.zone, [])
@@ -94,7 +94,7 @@
 
 
 async def show_dump(call: Call) -> Response:
-    """Answer with the state of this process."""
+    """Return the state of this process."""
     return JsonResponse(call.host.dump())
 
 
@@ -108,7 +108,7 @@
 
 
 async def show_metrics(call: Call) -> Response:
-    """Answer with the metrics for Prometheus."""
+    """Return the metrics in the text format of Prometheus."""
     return Response(metrics_text(call.host.core), media_type=CONTENT_TYPE_LATEST)
 
 
@@ -118,7 +118,8 @@
         "/v1/status",
         Role.READ,
         show_status,
-        "Show revisions, zones, leaving hosts and ejected targets as known here.",
+        "Show revisions, zones, leaving hosts and ejected targets, as known to this "
+        "host.",
     ),
     Operation("GET", "/v1/dump", Role.READ, show_dump, "Dump the state of this host."),
     Operation(
--- a/citronspring/admin/tokens.py
+++ b/citronspring/admin/tokens.py
@@ -1,4 +1,4 @@
-"""Bearer tokens, their roles and their rates."""
+"""Bearer tokens, their roles and rate limits."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
     from citronspring.settings import AdminSection, TokenSection
 
-#: Shortest token, characters. A shorter one could be found by trying.
+#: Minimum length of a token, bytes. A shorter one could be found by trial and error.
 MIN_TOKEN_BYTES = 16
 
-#: Who the author of a change is where no token is configured.
+#: Author of a change when no token is configured.
 LOOPBACK_AUTHOR = "loopback"
 
 BEARER_PREFIX = "bearer "
 
 
 class Role(IntEnum):
-    """What a token allows; a higher role allows what the lower ones do."""
+    """Role of a token; a higher role includes the lower ones."""
 
     READ = 1
     OPERATE = 2
@@ -37,19 +37,19 @@
 
 @dataclass(slots=True)
 class Principal:
-    """Who makes requests."""
+    """A user of the administration API."""
 
-    #: The author of changes.
+    #: Recorded as the author of changes.
     name: str
     role: Role
-    #: SHA-256 of the token; empty where none is needed.
+    #: SHA-256 of the token; empty if no token is needed.
     digest: bytes = field(default=b"", repr=False)
     limit: GcraLimiter = field(default_factory=GcraLimiter)
 
 
 @dataclass(slots=True)
 class Authenticator:
-    """Everyone who may make requests."""
+    """Checks tokens and rate limits of the principals."""
 
     principals: tuple[Principal, ...]
     requests_per_second: float
@@ -57,12 +57,12 @@
 
     @classmethod
     def from_settings(cls, section: AdminSection) -> Authenticator:
-        """Read the tokens; without any, whoever reaches loopback may do all.
+        """Read the tokens; without any, every client on loopback has all rights.
 
         Raises
         ------
         SettingsError
-            Naming the token, never its value.
+            A token cannot be used; the message names it without its value.
         """
         principals = tuple(read_principal(token) for token in section.tokens)
         check_unique_tokens(principals)
@@ -76,10 +76,10 @@
         return not self.principals[0].digest
 
     def authenticate(self, authorization: str) -> Principal:
-        """Return who an ``Authorization`` header belongs to.
+        """Return the principal of an ``Authorization`` header.
 
-        Every token is compared, each in constant time: the time of the answer
-        tells neither how much of a guess is right nor which token it is near.
+        Every token is compared, each in constant time: the response time reveals
+        neither how much of a guess is right nor which token it is close to.
         """
         if self.allows_anonymous:
             return self.principals[0]
@@ -90,37 +90,37 @@
                 found = principal
         if found is None:
             raise UnauthorizedError(
-                "no known token", "send 'Authorization: Bearer TOKEN'"
+                "the request has no known token", "send 'Authorization: Bearer TOKEN'"
             )
         return found
 
     def admit(self, principal: Principal, now: float) -> None:
-        """Count a request; raises RateLimitedError beyond the rate."""
+        """Count a request; raises RateLimitedError above the rate limit."""
         if principal.limit.admit(now, self.requests_per_second, self.burst):
             return
         retry_at = principal.limit.retry_at(self.requests_per_second, self.burst)
         raise RateLimitedError(
             f"{principal.name} makes more than {self.requests_per_second:g} requests a "
             "second",
-            "wait as long as Retry-After says",
+            "wait for the time in Retry-After",
             wait_seconds=retry_at - now,
         )
 
 
 def bearer_token(authorization: str) -> bytes:
-    """Return the token of a header, empty when it has none."""
+    """Return the token of an ``Authorization`` header, empty without one."""
     if not authorization.lower().startswith(BEARER_PREFIX):
         return b""
     return authorization[len(BEARER_PREFIX) :].strip().encode("latin-1", "replace")
 
 
 def token_digest(token: bytes) -> bytes:
-    """Return the digest under which a token is kept and compared."""
+    """Return the digest by which a token is stored and compared."""
     return hashlib.sha256(token).digest()
 
 
 def read_principal(section: TokenSection) -> Principal:
-    """Read one token from its file or environment variable."""
+    """Return the principal of one token; raises SettingsError."""
     token = read_token(section).strip()
     if len(token) < MIN_TOKEN_BYTES:
         message = f"admin.tokens: {section.name} has fewer than {MIN_TOKEN_BYTES} bytes"
@@ -129,7 +129,7 @@
 
 
 def read_token(section: TokenSection) -> bytes:
-    """Return a token's value."""
+    """Return the value of a token from its file or environment variable."""
     if section.env is not None:
         if section.env not in os.environ:
             message = f"admin.tokens: {section.name}: {section.env} is not set"
@@ -138,13 +138,16 @@
     try:
         return Path(section.file or "").read_bytes()
     except (OSError, ValueError) as error:
-        reason = getattr(error, "strerror", None) or "no usable name"
+        reason = getattr(error, "strerror", None) or "not a valid file name"
         message = f"admin.tokens: {section.name}: {section.file!r}: {reason}"
         raise SettingsError(message, "name a readable file") from None
 
 
 def check_unique_tokens(principals: Iterable[Principal]) -> None:
-    """Refuse one token under two names: its author and role would be a guess."""
+    """Raise SettingsError for one token under two names.
+
+    The author and role of its requests would be ambiguous.
+    """
     seen: dict[bytes, str] = {}
     for principal in principals:
         if principal.digest in seen:
--- a/tests/test_admin/hosts.py
+++ b/tests/test_admin/hosts.py
@@ -1,4 +1,4 @@
-"""A host process without sockets, and clients of its API."""
+"""Harness for the administration API of a host without sockets."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def two_tokens(folder):
-    """Return the token sections of a reader and an operator."""
+    """Write a read token and an operate token; return their settings sections."""
     sections = []
     for role, value in (("read", READ_TOKEN), ("operate", OPERATE_TOKEN)):
         path = folder / role
@@ -73,7 +73,7 @@
 
 @dataclass
 class ApiHarness:
-    """One host's API over a platform in memory."""
+    """The API of one host, with an in-memory platform."""
 
     host: FakeHost
     platform: MemoryPlatform
@@ -98,7 +98,7 @@
 
 
 async def put_examples(client):
-    """Put the template and both accounts; return the last answer."""
+    """Put the example template and both accounts; return the last response."""
     body = {"template": read_example("stream")}
     answer = await client.put("/v1/templates/stream", json=body)
     assert answer.status_code == 200, answer.text
--- a/tests/test_admin/test_access.py
+++ b/tests/test_admin/test_access.py
@@ -1,4 +1,4 @@
-"""Who may call, how often, with how much; and what a fault does."""
+"""Access to the API: tokens, roles, rates, limits of bodies, unexpected exceptions."""
 
 from __future__ import annotations
 
@@ -52,10 +52,10 @@
 
 
 async def test_each_token_is_compared_in_constant_time(harness, monkeypatch):
-    """Someone guesses tokens and times the answers.
+    """The response time must not help an attacker who guesses tokens.
 
-    A comparison that stops at the first difference, or at the first token that
-    fits, tells by its time how near a guess is. Each token is compared, whole.
+    A comparison that stops at the first difference, or at the first matching token,
+    reveals by its time how close a guess is. Every token is compared in full.
     """
     compared = []
     compare = hmac.compare_digest
@@ -77,10 +77,10 @@
 
 
 async def test_rate_limit_of_one_token_does_not_affect_another(tmp_path):
-    """A script of one operator asks in a loop.
+    """A script of one operator sends requests in a loop.
 
-    Its token gets 429 with Retry-After, while the other token is still served;
-    after the time told the first is served again.
+    Its token gets 429 with Retry-After while another token is still served. After the
+    time in Retry-After the first token is served again.
     """
     admin = {"requests_per_second": 1.0, "burst": 2}
     harness = ApiHarness.make(make_settings(two_tokens(tmp_path), **admin))
@@ -144,10 +144,10 @@
 
 
 async def test_web_page_cannot_post_to_loopback():
-    """An operator's browser shows a page that posts to the host's loopback.
+    """A web page in an operator's browser posts to the host's loopback.
 
-    Without tokens the API would obey, as it trusts whoever reaches loopback. A
-    browser always names the page in Origin, so such requests are refused.
+    Without tokens the API trusts every client on loopback and would accept the
+    request. Browsers name the page in Origin, so requests with Origin are refused.
     """
     harness = ApiHarness.make()
     async with harness.client() as client:
@@ -158,10 +158,10 @@
 
 
 async def test_unexpected_exception_becomes_a_problem_and_a_log_event(harness, capsys):
-    """A handler meets an error that nobody foresaw.
+    """An unexpected exception in a handler must not end the process.
 
-    The caller gets a problem document without internals, the log has the error,
-    and the process, which carries live flows, goes on.
+    The process carries live flows. The client gets a problem document without
+    internals, and the log has the exception.
     """
     configure_logs(LogsSection())
     harness.host.dump = lambda: 1 / 0
--- a/tests/test_admin/test_configuration.py
+++ b/tests/test_admin/test_configuration.py
@@ -1,4 +1,4 @@
-"""Templates, accounts and targets over the API."""
+"""Templates, client accounts and targets over the API."""
 
 from __future__ import annotations
 
@@ -58,10 +58,10 @@
 
 
 async def test_conflict_shows_the_change_of_the_other_operator():
-    """Two operators change one account from the same revision.
+    """Two operators change one account, starting from the same revision.
 
-    Both read revision 2, one drains a target, the other puts new parameters. The
-    second put would undo the drain unseen; it gets a conflict that shows it.
+    Both read revision 2; one drains a target, the other puts new parameters.
+    The put would silently undo the drain; it gets a conflict that shows the drain.
     """
     async with ApiHarness.make().client() as client:
         await put_examples(client)
@@ -76,10 +76,10 @@
 
 
 async def test_outage_response_says_that_nothing_was_changed():
-    """The platform is out while an operator puts an account.
+    """The platform is unavailable while an operator drains a target.
 
-    The operator gets 503 with Retry-After and "nothing changed", and that is so:
-    after the outage the account is as before, and the same change id commits.
+    The response is 503 with Retry-After and says that nothing was changed. After the
+    outage the account is as before, and a retry with the same change id commits.
     """
     harness = ApiHarness.make()
     async with harness.client() as client:
@@ -101,7 +101,7 @@
 
 
 class AnswerLosingStore(ConfigurationStore):
-    """Commits, then loses the first answer to one change."""
+    """A store that commits one change but loses its first answer."""
 
     lost = False
 
@@ -114,10 +114,10 @@
 
 
 async def test_lost_answer_is_reported_as_unknown_and_a_retry_commits_once():
-    """The platform takes a drain and its answer is lost.
+    """The platform commits a drain and its answer is lost.
 
-    To say "not accepted" would be a lie: the drain is in force. The operator is
-    told that the outcome is unknown, repeats the change id, and it ran once.
+    To report "not accepted" would be wrong: the drain is committed. The response says
+    that the outcome is unknown, and a retry with the same change id commits it once.
     """
     store = AnswerLosingStore.from_platform(MemoryPlatform(), ZONES)
     async with ApiHarness.make(store=store).client() as client:
--- a/tests/test_admin/test_server.py
+++ b/tests/test_admin/test_server.py
@@ -1,4 +1,4 @@
-"""The API on real sockets: TLS, loopback, status, metrics."""
+"""The API server: TLS, loopback, status, metrics, reference pages."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 
 pytestmark = pytest.mark.anyio
 
-#: Any free port; the settings themselves allow none.
+#: Any free port; the settings do not allow port 0.
 ANY_PORT = Endpoint("127.0.0.1", 0)
 
 
 def make_certificate(folder, password=None):
-    """Write a certificate for loopback and its key; return both paths."""
+    """Write a certificate for loopback and its key; return the paths of both."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "host-0")])
     day = datetime.timedelta(days=1)
@@ -97,10 +97,10 @@
 
 @pytest.mark.parametrize("broken", ["absent", "encrypted", "no PEM"])
 async def test_unusable_certificate_is_reported_before_listening(tmp_path, broken):
-    """The certificate of a host cannot be used.
+    """An unusable certificate is reported by an error that names the file.
 
-    The process would die with a traceback, or ask a terminal that is not there
-    for the key's password; the operator sees one line that names the file.
+    Without the check the process would end with a traceback, or ask for the key's
+    password on a terminal that does not exist.
     """
     certificate, key = make_certificate(
         tmp_path, b"x" if broken == "encrypted" else b""
@@ -119,10 +119,10 @@
 async def test_without_a_token_it_listens_on_loopback_and_logs_a_warning(
     capsys, monkeypatch
 ):
-    """The settings name a reachable address and no token.
+    """The settings have a reachable address and no token.
 
     Anyone in the network could change every account. The API listens on loopback
-    in its place, and a warning in the log tells the operator why.
+    instead, and logs a warning with the configured address.
     """
     configure_logs(LogsSection())
     harness = ApiHarness.make(make_settings(listen="192.0.2.1:1"))
