--- a/citronspring/cli/changes.py
+++ b/citronspring/cli/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration: templates, accounts and targets."""
+"""Commands that change templates, client accounts and targets."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 
 
 def send_change(
-    invocation: Invocation, what: str, method: str, path: str, body: dict[str, Any]
+    invocation: Invocation, subject: str, method: str, path: str, body: dict[str, Any]
 ) -> int:
-    """Make one change, print its id before it is sent, and what came of it."""
+    """Send a change and print its result; the change id is printed before."""
     client = AdminClient.from_flags(invocation)
     change_id = invocation.flags["change_id"] or client.new_change_id()
     print(f"change id {change_id}", file=sys.stderr)
@@ -45,7 +45,7 @@
     if invocation.flags["output"] == "json":
         print_json(answer)
     else:
-        print(f"{what}: committed at revision {answer.get('revision')}")
+        print(f"{subject}: committed at revision {answer.get('revision')}")
     return 0
 
 
@@ -54,10 +54,10 @@
     (name,) = invocation.arguments
     template = read_table(name)
     if not isinstance(template.get("name"), str):
-        raise InputFileError(f"{name}: names no template", "add name")
+        raise InputFileError(f"{name}: the template has no name", "add name")
     path = template_path(template["name"])
-    what = f"template {template['name']}"
-    return send_change(invocation, what, "PUT", path, {"template": template})
+    subject = f"template {template['name']}"
+    return send_change(invocation, subject, "PUT", path, {"template": template})
 
 
 def put_account(invocation: Invocation) -> int:
@@ -66,8 +66,12 @@
     body = read_table(name)
     unknown = sorted(set(body) - {"template", "parameters"})
     if unknown or "template" not in body:
-        message = f"{name}: holds {unknown[0]}" if unknown else f"{name}: no template"
-        raise InputFileError(message, "write template and parameters, nothing else")
+        message = (
+            f"{name}: unknown key {unknown[0]}"
+            if unknown
+            else f"{name}: template is missing"
+        )
+        raise InputFileError(message, "the keys are template and parameters")
     path = account_path(account_id)
     return send_change(invocation, f"account {account_id}", "PUT", path, body)
 
@@ -83,22 +87,22 @@
     """Change one target."""
     account_id, target_id = invocation.arguments
     path = f"{target_path(account_id, target_id)}/{verb}"
-    what = f"target {target_id} of {account_id}"
-    return send_change(invocation, what, "POST", path, {})
+    subject = f"target {target_id} of {account_id}"
+    return send_change(invocation, subject, "POST", path, {})
 
 
 def drain_target(invocation: Invocation) -> int:
-    """Let a target take no new flows."""
+    """Drain a target, so that it gets no new flows."""
     return change_target(invocation, "drain")
 
 
 def undrain_target(invocation: Invocation) -> int:
-    """Let a drained target take new flows again."""
+    """End the drain of a target, so that it gets new flows again."""
     return change_target(invocation, "undrain")
 
 
 def purge_target(invocation: Invocation) -> int:
-    """Forget a target that was removed."""
+    """Delete the record of a target that was removed before."""
     return change_target(invocation, "purge")
 
 
@@ -121,28 +125,28 @@
         ("account", "delete"),
         ("ACCOUNT",),
         delete_account,
-        "Delete a client account with its targets, at once.",
+        "Delete a client account with its targets, immediately.",
         CHANGE,
     ),
     Command(
         ("target", "drain"),
         ("ACCOUNT", "TARGET"),
         drain_target,
-        "Let a target take no new flows and keep the ones it has.",
+        "Drain a target: it gets no new flows and keeps the ones it has.",
         CHANGE,
     ),
     Command(
         ("target", "undrain"),
         ("ACCOUNT", "TARGET"),
         undrain_target,
-        "Let a drained target take new flows again.",
+        "End the drain of a target: it gets new flows again.",
         CHANGE,
     ),
     Command(
         ("target", "purge"),
         ("ACCOUNT", "TARGET"),
         purge_target,
-        "Forget a target that was removed from the account before.",
+        "Delete the record of a target that was removed from the account before.",
         CHANGE,
     ),
 )
--- a/citronspring/cli/client.py
+++ b/citronspring/cli/client.py
@@ -1,4 +1,4 @@
-"""Client of the administration API, which repeats what may be repeated."""
+"""Client of the administration API, which retries requests that are safe to retry."""
 
 from __future__ import annotations
 
@@ -21,16 +21,17 @@
 if TYPE_CHECKING:
     from citronspring.cli.commands import Invocation
 
-#: Times a request is sent, to one host after the other.
+#: Maximum attempts of a request, sent to the hosts in turn.
 MAX_ATTEMPTS = 4
 
-#: Longest wait between two attempts, seconds, whatever a host asks for.
+#: Maximum delay between two attempts, seconds, whatever Retry-After says.
 MAX_RETRY_DELAY = 2.0
 
-#: Seconds an answer may take. A host needs several calls of the platform for one.
+#: Response time-out, seconds. A host makes several calls to the platform for one
+#: response.
 RESPONSE_TIMEOUT_SECONDS = 20.0
 
-#: Failures before any byte of a request went out.
+#: Errors that are raised before any byte of a request is sent.
 NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.UnsupportedProtocol)
 
 Body = dict[str, Any]
@@ -38,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A host's final answer; it changed nothing."""
+    """A host refused the request; nothing was changed, and a retry is of no use."""
 
     error: RemoteError
 
 
 @dataclass(frozen=True, slots=True)
 class NotProcessed:
-    """The request was not taken, and may be sent again."""
+    """No host processed the request; a retry is safe."""
 
     reason: str
     error: RemoteError | None = None
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseLost:
-    """The request may have been run; no answer tells."""
+    """The response was lost; the request may have been processed."""
 
     reason: str
     wait_seconds: float = 0.0
@@ -65,7 +66,7 @@
 
 @dataclass(slots=True)
 class AdminClient:
-    """Talks to the hosts that the command line names, in turn."""
+    """Client of the hosts named on the command line, which are tried in turn."""
 
     hosts: tuple[str, ...]
     client: httpx.Client
@@ -75,7 +76,7 @@
     def from_flags(
         cls, invocation: Invocation, hosts: tuple[str, ...] = ()
     ) -> AdminClient:
-        """Make the client that the flags describe."""
+        """Return a client for the hosts, token and certificates in the flags."""
         token = read_token(invocation.flags["token_file"])
         headers = {"Authorization": f"Bearer {token}"} if token else {}
         client = httpx.Client(
@@ -88,16 +89,16 @@
         return cls(tuple(host_url(host) for host in named), client)
 
     def get(self, path: str) -> Body:
-        """Read from the first host that answers."""
+        """Return the content of a path from the first host that answers."""
         return self.send_with_retries("GET", path, None, "")
 
     def change(self, method: str, path: str, body: Body, change_id: str) -> Body:
-        """Make a change, at most once however often it is sent.
+        """Send a change, which is committed at most once however often it is sent.
 
         Raises
         ------
         OutcomeUnknownError
-            Some answer was lost, and no later one settled it.
+            A response was lost, and no retry succeeded.
         RemoteError, UnreachableError
             Nothing was changed.
         """
@@ -106,18 +107,20 @@
         )
 
     def new_change_id(self) -> str:
-        """Make a change id from the newest revision that a host knows."""
+        """Return a change id made from the newest revision known to a host."""
         revision = self.get("/v1/status").get("newest_revision")
         if type(revision) is not int:
-            raise RemoteError("internal", "the status names no revision", "upgrade")
+            raise RemoteError(
+                "internal", "the status has no newest_revision", "upgrade the host"
+            )
         return make_change_id(revision, uuid.uuid4().hex)
 
     def send_with_retries(
         self, method: str, path: str, body: Body | None, change_id: str
     ) -> Body:
-        """Send a request until it has an answer, or the attempts are spent."""
-        lost = ""
-        failure: Failure = NotProcessed("no host is named")
+        """Send a request until it is answered or the attempts are used up."""
+        lost_reason = ""
+        failure: Failure = NotProcessed("no host is given")
         for attempt in range(MAX_ATTEMPTS):
             host = self.hosts[attempt % len(self.hosts)]
             result = self.send(host, method, path, body)
@@ -128,27 +131,27 @@
                 case Refused():
                     break
                 case ResponseLost(reason, wait):
-                    lost = reason
-                    self.wait(attempt, wait)
+                    lost_reason = reason
+                    self.wait_before_retry(attempt, wait)
                 case NotProcessed(wait_seconds=wait):
-                    self.wait(attempt, wait)
-        raise final_error(failure, lost if change_id else "", change_id)
+                    self.wait_before_retry(attempt, wait)
+        raise final_error(failure, lost_reason if change_id else "", change_id)
 
-    def wait(self, attempt: int, seconds: float) -> None:
-        """Wait before the next attempt, and only once each host was asked."""
+    def wait_before_retry(self, attempt: int, seconds: float) -> None:
+        """Wait before the next attempt if each host has been tried equally often."""
         if attempt + 1 < MAX_ATTEMPTS and (attempt + 1) % len(self.hosts) == 0:
             self.sleep(min(max(seconds, 0.2), MAX_RETRY_DELAY))
 
     def send(
         self, host: str, method: str, path: str, body: Body | None
     ) -> Result[Body, Failure]:
-        """Send one request."""
+        """Send a request once; return the content of the response or the failure."""
         try:
             response = self.client.request(method, host + path, json=body)
         except NOT_SENT_ERRORS as error:
             return Error(NotProcessed(f"{host}: {error_text(error)}"))
         except (httpx.InvalidURL, UnicodeError) as error:
-            message = f"{escape(host)} is no URL: {escape(error)}"
+            message = f"{escape(host)} is not a URL: {escape(error)}"
             raise UsageError(message, "give --host=http://ADDRESS:PORT") from None
         except httpx.HTTPError as error:
             return Error(ResponseLost(f"{host}: {error_text(error)}"))
@@ -156,7 +159,10 @@
 
 
 def make_ssl_context(ca_file: str | None) -> ssl.SSLContext:
-    """Return the certificates to trust."""
+    """Return a TLS context that trusts the certificates in a file.
+
+    Without a file it trusts the default ones of the system.
+    """
     try:
         return ssl.create_default_context(cafile=ca_file)
     except (OSError, ValueError) as error:
@@ -165,25 +171,25 @@
 
 
 def host_url(host: str) -> str:
-    """Return the URL of a host that may be named without a scheme."""
+    """Return the URL of a host; the scheme is http if it has none."""
     url = host if "://" in host else f"http://{host}"
     return url.rstrip("/")
 
 
 def error_text(error: Exception) -> str:
-    """Return why no answer came, in one line."""
+    """Return the text of an exception, or its type if it has no text."""
     return escape(error) or type(error).__name__
 
 
 def classify_response(host: str, response: httpx.Response) -> Result[Body, Failure]:
-    """Sort a host's answer by what it says of the change."""
+    """Return the content of a successful response, or the failure it stands for."""
     try:
         content = response.json()
     except ValueError:
         content = None
     if not isinstance(content, dict):
         return Error(
-            ResponseLost(f"{host}: answered {response.status_code} without JSON")
+            ResponseLost(f"{host}: status {response.status_code} without a JSON object")
         )
     if response.is_success:
         return Ok(content)
@@ -201,26 +207,26 @@
     return Error(Refused(error))
 
 
-def one_line(text: object, instead: str) -> str:
-    """Return text of a host on one line without control characters."""
-    cleaned = " ".join(str(text or instead).split())
+def one_line(text: object, default: str) -> str:
+    """Return text from a host on one line, without control characters."""
+    cleaned = " ".join(str(text or default).split())
     return "".join(char for char in cleaned if char.isprintable())
 
 
 def retry_after_seconds(response: httpx.Response) -> float:
-    """Return the seconds a host asks to wait."""
+    """Return the value of Retry-After in seconds, 0 without one."""
     text = response.headers.get("retry-after", "")
     return float(text) if text.isascii() and text.isdecimal() else 0.0
 
 
-def final_error(failure: Failure, lost: str, change_id: str) -> Exception:
-    """Return the error that says what is known after the last attempt.
+def final_error(failure: Failure, lost_reason: str, change_id: str) -> Exception:
+    """Return the error to raise after the last attempt.
 
-    Once an answer was lost, a later refusal proves nothing: it may have been made
-    from a view older than the change.
+    After a lost response, a later refusal does not prove that the change was not
+    committed: the refusing host may not have known the change yet.
     """
-    if lost:
-        message = f"outcome unknown: {lost}"
+    if lost_reason:
+        message = f"outcome unknown: {lost_reason}"
         if isinstance(failure, Refused):
             message = f"{message}; then refused: {failure.error.message}"
         return OutcomeUnknownError(message, f"repeat with --change_id={change_id}")
--- a/citronspring/cli/commands.py
+++ b/citronspring/cli/commands.py
@@ -1,4 +1,4 @@
-"""Commands as data: their words, arguments, flags and help."""
+"""Declarations of commands: words, arguments, flags and help texts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TextFlag:
-    """A flag with text."""
+    """A flag with a text value."""
 
     name: str
     help: str
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChoiceFlag:
-    """A flag with one of some words, the first by default."""
+    """A flag with one of several words; the default is the first."""
 
     name: str
     help: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Invocation:
-    """What the user asked a command for."""
+    """Arguments and flags of a parsed command line."""
 
     arguments: tuple[str, ...] = ()
     #: Flag values by name, defaults included.
@@ -68,28 +68,28 @@
 class Command:
     """One command of the program."""
 
-    #: Such as ``("account", "put")``.
+    #: Words that select it, such as ``("account", "put")``.
     words: tuple[str, ...]
     #: Names of its positional arguments.
     arguments: tuple[str, ...]
-    #: Does it, and returns the exit code.
+    #: Runs the command and returns the exit code.
     run: Callable[[Invocation], int]
-    #: What it does, in one line.
+    #: One-line description.
     summary: str
     flags: tuple[Flag, ...] = ()
 
     @property
     def name(self) -> str:
-        """The words as typed."""
+        """The words, separated by spaces."""
         return " ".join(self.words)
 
     @property
     def synopsis(self) -> str:
-        """The command with its arguments."""
+        """The words and the names of the arguments, separated by spaces."""
         return " ".join((*self.words, *self.arguments))
 
     def parse(self, words: Sequence[str]) -> Invocation:
-        """Read arguments and flags; raises UsageError."""
+        """Return the arguments and flags of a command line; raises UsageError."""
         values = flag_values(self.flags)
         try:
             arguments = values(["citronspring", *words])[1:]
@@ -107,13 +107,16 @@
         return Invocation(tuple(arguments), known)
 
     def accepts_argument_count(self, count: int) -> bool:
-        """Whether so many arguments may be given; a last one with dots repeats."""
+        """Return whether this number of arguments is valid.
+
+        The last argument may be repeated if its name ends in "...".
+        """
         if self.arguments and self.arguments[-1].endswith("..."):
             return count >= len(self.arguments)
         return count == len(self.arguments)
 
     def help(self) -> str:
-        """Return the help of this command."""
+        """Return the help text of this command."""
         lines = [
             f"usage: citronspring {self.synopsis} [--flag=value ...]",
             "",
@@ -127,7 +130,7 @@
 
 
 def flag_values(declared: Iterable[Flag]) -> flags.FlagValues:
-    """Return flags of absl for one command alone."""
+    """Return absl flag values with only the flags of one command."""
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
     values.set_gnu_getopt(True)
     for flag in declared:
@@ -150,7 +153,7 @@
 
 
 def describe_flag(flag: Flag) -> str:
-    """Return a flag as it is typed, with its default."""
+    """Return the syntax of a flag, with its default."""
     match flag:
         case ChoiceFlag():
             return f"--{flag.name}={'|'.join(flag.choices)}"
@@ -164,7 +167,7 @@
 
 
 def find_command(commands: Iterable[Command], words: Sequence[str]) -> Command | None:
-    """Return the command that a line begins with."""
+    """Return the command that a command line begins with, None if there is none."""
     for command in commands:
         if tuple(words[: len(command.words)]) == command.words:
             return command
@@ -172,7 +175,7 @@
 
 
 def usage(commands: Iterable[Command], prefix: Sequence[str] = ()) -> str:
-    """Return the list of the commands that begin with some words."""
+    """Return the usage text of the commands that begin with a prefix."""
     found = [item for item in commands if item.words[: len(prefix)] == tuple(prefix)]
     width = max(len(command.synopsis) for command in found)
     lines = ["usage: citronspring COMMAND [ARGUMENT ...] [--flag=value ...]", ""]
--- a/citronspring/cli/emulate.py
+++ b/citronspring/cli/emulate.py
@@ -1,4 +1,4 @@
-"""The command ``emulate``: the token mode under drawn faults, judged and plotted."""
+"""The command ``emulate``: checks and plots the token mode under random faults."""
 
 from __future__ import annotations
 
@@ -17,10 +17,12 @@
 
 
 def emulate(invocation: Invocation) -> int:
-    """Play seeds and print a line each; 1 if a promise was broken."""
+    """Run seeds and print a line for each; return 1 if a guarantee was violated."""
     values = invocation.flags
     if values["seeds"] < 1 or values["hosts"] < 1:
-        raise UsageError("nothing to play", "give --seeds and --hosts of 1 or more")
+        raise UsageError(
+            "no seeds or no hosts to run", "give --seeds and --hosts of 1 or more"
+        )
     sizes = Sizes(hosts_per_zone=values["hosts"])
     outcomes = []
     for seed in range(values["first"], values["first"] + values["seeds"]):
@@ -35,7 +37,7 @@
 
 
 def outcome_line(outcome: Outcome) -> str:
-    """Return what a run showed in a line, and a line for each broken promise."""
+    """Return a line about a run, and one for each violated guarantee."""
     line = (
         f"seed {outcome.seed}: {outcome.served} of {outcome.requests} served, "
         f"{outcome.in_time} in time, {outcome.store_calls} calls to the store; "
@@ -49,12 +51,13 @@
         ("emulate",),
         (),
         emulate,
-        "Play the token mode under drawn faults in virtual time, and judge it.",
+        "Run the token mode under random faults in virtual time and check its "
+        "guarantees.",
         (
             NumberFlag("first", "First seed.", 0),
             NumberFlag("seeds", "Number of seeds.", 10),
             NumberFlag("hosts", "Hosts in each of three zones.", 2),
-            TextFlag("report", "File to write a page with plots to."),
+            TextFlag("report", "HTML file to write a report with plots to."),
         ),
     ),
 )
--- a/citronspring/cli/exit_codes.py
+++ b/citronspring/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes, by the kind of error."""
+"""Exit codes by kind of error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class UsageError(CitronspringError):
-    """The command line is not one the program knows."""
+    """The command line is not valid."""
 
     kind = "usage"
 
@@ -20,7 +20,7 @@
 
 
 class UnreachableError(CitronspringError):
-    """No host took the request, so nothing was changed."""
+    """No host processed the request, so nothing was changed."""
 
     kind = "unreachable"
 
@@ -31,7 +31,7 @@
     Parameters
     ----------
     kind, message, remedy : str
-        As in the document.
+        Members of the document.
     """
 
     def __init__(self, kind: str, message: str, remedy: str) -> None:
@@ -45,12 +45,12 @@
 
     code: int
     meaning: str
-    #: Kinds of errors that end with it.
+    #: Kinds of errors that lead to it.
     kinds: tuple[str, ...] = ()
 
 
-DONE = ExitCode(0, "Done. For `try`: every promise held.")
-ERROR = ExitCode(1, "Any other error. For `try`: a promise was broken.")
+DONE = ExitCode(0, "Success. For `try`: no guarantee was violated.")
+ERROR = ExitCode(1, "Any other error. For `try`: a guarantee was violated.")
 USAGE = ExitCode(2, "The command line is wrong; nothing was sent.", ("usage",))
 INVALID = ExitCode(
     3,
@@ -60,17 +60,18 @@
 NOT_FOUND = ExitCode(4, "No such template, account or target.", ("not-found",))
 CONFLICT = ExitCode(
     5,
-    "Refused: another operator was first, or an address is in use elsewhere.",
+    "Refused: another operator made a change first, or an address belongs to another "
+    "client account.",
     ("conflict", "move-refused"),
 )
 NOT_ALLOWED = ExitCode(
     6,
-    "The token is unknown, may not do this, or asks too often.",
+    "The token is unknown, lacks the role, or exceeds its request rate.",
     ("unauthorized", "forbidden", "rate-limited"),
 )
 NOT_CHANGED = ExitCode(
     7,
-    "The platform is out or no host is reachable; nothing was changed.",
+    "The platform is unavailable or no host is reachable; nothing was changed.",
     ("platform-unavailable", "unreachable"),
 )
 UNKNOWN = ExitCode(
--- a/citronspring/cli/experiment.py
+++ b/citronspring/cli/experiment.py
@@ -1,4 +1,4 @@
-"""The command ``experiment``: many seeded runs under faults, judged."""
+"""The command ``experiment``: checks many seeded runs under faults."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     from citronspring.cli.commands import Invocation
     from citronspring.experiments.report import Campaign, SeedResult
 
-#: Violations of one seed that are printed.
+#: Maximum number of violations that are printed for a seed.
 MAX_PRINTED_VIOLATIONS = 5
 
 
 def experiment(invocation: Invocation) -> int:
-    """Run seeds and print what they showed; 1 if a promise was broken."""
+    """Run seeds and print the results; return 1 if a guarantee was violated."""
     first, count = invocation.flags["first"], invocation.flags["seeds"]
     if count < 1:
         raise UsageError("no seeds to run", "give --seeds=1 or more")
@@ -28,7 +28,7 @@
 
 
 def print_violations(result: SeedResult) -> None:
-    """Print a seed that broke a promise, with the faults it had."""
+    """Print the faults and violations of a seed, nothing without violations."""
     if not result.violations:
         return
     faults = ", ".join(fault.kind.value for fault in result.scenario.faults)
@@ -51,7 +51,8 @@
         ("experiment",),
         (),
         experiment,
-        "Run seeds of many cores under faults in virtual time, and judge them.",
+        "Run many balancer cores under faults in virtual time and check their "
+        "guarantees.",
         (
             NumberFlag("first", "First seed.", 0),
             NumberFlag("seeds", "Number of seeds.", 100),
--- a/citronspring/cli/explain.py
+++ b/citronspring/cli/explain.py
@@ -1,4 +1,4 @@
-"""The command ``explain``: what was decided about one flow, and why."""
+"""The command ``explain``: decisions about a flow, target or host, with reasons."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 def explain(invocation: Invocation) -> int:
-    """Print the trail of a flow, target or host through logs."""
+    """Print the events about a flow, target or host in log files."""
     name, *paths = invocation.arguments
     trail = find_trail(name, read_lines(paths))
     if not trail.lines:
         raise NotFoundError(
-            f"no line is about {name!r}",
+            f"no log line is about {name!r}",
             "give caller:port>service:port or a part of it, a target or a host; "
-            "under load lines are left out, which event 690 tells",
+            "under load some lines are not logged, which event 690 reports",
         )
     for line in trail.lines:
         print(format_line(line))
@@ -30,14 +30,14 @@
 
 
 def read_lines(paths: list[str]) -> Iterator[str]:
-    """Return the lines of all files."""
+    """Yield the lines of all files."""
     for path in paths:
         try:
             with open(path, encoding="utf-8", errors="replace") as file:
                 yield from file
         except OSError as error:
             raise NotFoundError(
-                f"{path} cannot be read: {error.strerror}", "name files of logs"
+                f"{path} cannot be read: {error.strerror}", "name readable log files"
             ) from error
 
 
--- a/citronspring/cli/files.py
+++ b/citronspring/cli/files.py
@@ -1,4 +1,4 @@
-"""Input files: TOML, or JSON by their suffix."""
+"""Read input files: JSON if the name ends in .json, TOML otherwise."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def read_table(name: str) -> dict[str, Any]:
-    """Read a file that holds one table; raises InputFileError."""
+    """Return the table in a TOML or JSON file; raises InputFileError."""
     try:
         text = Path(name).read_text("utf-8")
         table = json.loads(text) if name.endswith(JSON_SUFFIX) else tomllib.loads(text)
@@ -27,20 +27,20 @@
         remedy = "write it as TOML, or as JSON in a file named *.json"
         raise InputFileError(message, remedy) from None
     if not isinstance(table, dict):
-        raise InputFileError(f"{escape(name)}: holds no table", "write keys and values")
+        raise InputFileError(f"{escape(name)}: not a table", "write keys and values")
     return table
 
 
 def read_token(name: str | None) -> str:
-    """Read a token; empty without a file."""
+    """Return the token in a file, empty without a file; raises InputFileError."""
     if name is None:
         return ""
     try:
         token = Path(name).read_text("ascii").strip()
     except (OSError, ValueError):
-        message = f"{escape(name)}: no token can be read"
+        message = f"{escape(name)}: the token cannot be read"
         raise InputFileError(message, "name a readable file with the token") from None
     if not token.isprintable() or not token:
-        message = f"{escape(name)}: holds no token"
+        message = f"{escape(name)}: contains no valid token"
         raise InputFileError(message, "write the token on one line")
     return token
--- a/citronspring/cli/main.py
+++ b/citronspring/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: finds the command and turns errors into one line."""
+"""Entry point of the command line: runs a command and prints errors on one line."""
 
 from __future__ import annotations
 
@@ -50,17 +50,17 @@
 
 
 def run_try(invocation: Invocation) -> int:
-    """Run the small system."""
+    """Run the demonstration."""
     return try_system(invocation.arguments)
 
 
-#: Every command, in the order of the help. A new one is added here.
+#: All commands, in the order of the help; a new command is added here.
 COMMANDS = (
     Command(
         ("try",),
         (),
         run_try,
-        "Run a small system on loopback under failures, and judge it.",
+        "Run a small system on loopback under failures and check its guarantees.",
     ),
     *experiment.COMMANDS,
     *emulate.COMMANDS,
@@ -92,35 +92,38 @@
 
 
 def wants_help(words: Sequence[str]) -> bool:
-    """Return whether a line asks for help."""
+    """Return whether a command line asks for help."""
     return words[0] == "help" or not HELP_FLAGS.isdisjoint(words)
 
 
 def unknown_command(words: Sequence[str]) -> UsageError:
-    """Return the error of a line that begins with no command."""
+    """Return the error for a command line that begins with no command."""
     prefix = known_prefix(words)
     if prefix:
         verbs = [item.words[1] for item in COMMANDS if item.words[:1] == prefix]
-        return UsageError(f"{prefix[0]} what?", f"add one of {', '.join(verbs)}")
+        return UsageError(
+            f"{prefix[0]} needs a second word", f"add one of {', '.join(verbs)}"
+        )
     known = sorted({item.words[0] for item in COMMANDS})
     close = get_close_matches(words[0], known, n=1)
     remedy = f"did you mean {close[0]}?" if close else "see citronspring --help"
-    return UsageError(f"no command {escape(words[0])}", remedy)
+    return UsageError(f"unknown command {escape(words[0])}", remedy)
 
 
 def known_prefix(words: Sequence[str]) -> tuple[str, ...]:
-    """Return the first word if commands begin with it."""
+    """Return the first word if a command begins with it, else nothing."""
     first = tuple(words[:1])
     return first if any(item.words[:1] == first for item in COMMANDS) else ()
 
 
 def report_error(error: Exception) -> int:
-    """Print an error in one line and return its exit code."""
+    """Print an error on one line and return its exit code."""
     for cause in leaf_exceptions(error):
         match cause:
             case BrokenPipeError():
-                # Whoever read the output has left, as `head` does: nobody is there
-                # to tell, and Python would complain again when it flushes.
+                # The reader of the output has closed the pipe, as `head` does. With
+                # the null device in its place Python reports no second error when it
+                # flushes at exit.
                 os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
                 return ERROR.code
             case CitronspringError():
@@ -133,7 +136,7 @@
 
 
 def leaf_exceptions(error: Exception) -> Iterator[Exception]:
-    """Yield an error, or what is inside groups of them."""
+    """Yield an exception, or the exceptions inside a group, also of nested ones."""
     match error:
         case ExceptionGroup():
             for inner in error.exceptions:
@@ -143,10 +146,10 @@
 
 
 def one_line(error: Exception) -> str:
-    """Return an error's text on one line."""
+    """Return the text of an error on one line."""
     return " ".join(str(error).split())
 
 
 def run() -> None:
-    """Entry point of the installed script."""
+    """Run the command line of this process; entry point of the installed script."""
     sys.exit(main(sys.argv[1:]))
--- a/citronspring/cli/output.py
+++ b/citronspring/cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print: tables for people, JSON for machines."""
+"""Output of commands: tables for people, JSON for programs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def print_table(headings: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print rows in columns, numbers to the right."""
+    """Print rows in columns; numbers are aligned to the right."""
     cells = [[cell_text(cell) for cell in row] for row in rows]
     widths = [
         max(len(line[column]) for line in [headings, *cells])
@@ -38,10 +38,10 @@
 
 
 def join_cells(cells: Any) -> str:
-    """Return one line of a table."""
+    """Return a line of a table."""
     return "  ".join(cells).rstrip()
 
 
 def cell_text(cell: object) -> str:
-    """Return a cell; what a host sent may hold no control characters."""
+    """Return the text of a cell; control characters from a host are escaped."""
     return "-" if cell is None else escape(cell)
--- a/citronspring/cli/reference.py
+++ b/citronspring/cli/reference.py
@@ -1,4 +1,4 @@
-"""Write the reference page of the commands from their definitions."""
+"""Generate the reference page of the commands from their declarations."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 `citronspring COMMAND`, or `python -m citronspring COMMAND`. Errors are one line on
 standard error that names the remedy. Commands that change the configuration print
-their change id on standard error before they send anything. When an answer is lost
-they send the change again under the same id, a few times and to each `--host` in
-turn; a change is committed once however often it is sent.
+their change id on standard error before they send anything. If a response is lost,
+they retry the change with the same id, a few times and at each `--host` in turn; a
+change is committed once however often it is sent.
 
-This page is made from `citronspring.cli` by
+This page is generated from `citronspring.cli` by
 `python -m citronspring.cli.reference > docs/reference/commands.md`.
 
 ## Exit codes
@@ -27,7 +27,7 @@
 
 
 def command_section(command: Command) -> list[str]:
-    """Return the lines about one command."""
+    """Return the lines of the section about one command."""
     lines = ["", f"## {command.name}", "", "```text"]
     lines += [f"citronspring {command.synopsis}", "```", "", command.summary]
     if command.flags:
@@ -39,7 +39,7 @@
 
 
 def commands_page() -> str:
-    """Return the page."""
+    """Return the text of the page."""
     lines = [
         f"| {item.code} | {item.meaning} | {', '.join(item.kinds)} |"
         for item in EXIT_CODES
--- a/citronspring/cli/serve.py
+++ b/citronspring/cli/serve.py
@@ -21,7 +21,7 @@
 
 
 def serve(invocation: Invocation) -> int:
-    """Run an entry host until it is told to stop."""
+    """Run a host process until it is stopped."""
     name = invocation.flags["settings"]
     if name is None:
         raise UsageError("no settings file", "give --settings=FILE")
@@ -32,7 +32,7 @@
 
 
 async def run_host(settings: Settings) -> None:
-    """Run one host process."""
+    """Run the host process, its signal handling and its administration API."""
     async with PlatformClient.from_url(settings.platform.url) as platform:
         store = ConfigurationStore.from_platform(platform, settings.platform.zones)
         daemon = HostDaemon.from_settings(settings, store)
@@ -44,7 +44,7 @@
 
 
 def check_settings(invocation: Invocation) -> int:
-    """Check a settings file and say what it describes."""
+    """Check a settings file and print its host, zone and number of peers."""
     (name,) = invocation.arguments
     settings = Settings.from_toml(Path(name))
     peers = len(settings.peers)
@@ -59,13 +59,13 @@
         ("serve",),
         (),
         serve,
-        "Run an entry host until it is told to stop.",
+        "Run a host process until it is stopped.",
         (TextFlag("settings", "TOML file with the host's settings."),),
     ),
     Command(
         ("check-settings",),
         ("FILE",),
         check_settings,
-        "Check a settings file and say what it describes.",
+        "Check a settings file and print its host, zone and number of peers.",
     ),
 )
--- a/citronspring/cli/standin.py
+++ b/citronspring/cli/standin.py
@@ -1,4 +1,4 @@
-"""The command ``standin platform``: a platform to try the system against."""
+"""The command ``standin platform``: an in-memory platform for trials."""
 
 from __future__ import annotations
 
@@ -19,13 +19,15 @@
 
 
 def platform(invocation: Invocation) -> int:
-    """Serve a platform that keeps its values in memory, until interrupted."""
+    """Serve a platform that keeps its values in memory until interrupted."""
     text = invocation.flags["listen"]
     try:
         endpoint = Endpoint.from_text(text)
     except ValueError:
-        raise UsageError(f"--listen={text} is not ip:port", "write it so") from None
-    print(f"a platform in memory listens on http://{endpoint}", flush=True)
+        raise UsageError(
+            f"--listen={text} is not ip:port", "give it as 127.0.0.1:8500"
+        ) from None
+    print(f"in-memory platform listening on http://{endpoint}", flush=True)
     anyio.run(serve_platform, MemoryPlatform(), endpoint)
     return 0
 
@@ -35,7 +37,7 @@
         ("standin", "platform"),
         (),
         platform,
-        "Serve a platform that forgets everything when it ends, to try things.",
+        "Serve an in-memory platform for trials; its data is lost when it ends.",
         (TextFlag("listen", "Endpoint to listen on.", DEFAULT_LISTEN),),
     ),
 )
--- a/citronspring/cli/try_command.py
+++ b/citronspring/cli/try_command.py
@@ -1,4 +1,4 @@
-"""The command ``try``."""
+"""The command ``try``: the demonstration on loopback."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-#: Seed of the run; the same traffic each time, on real sockets and a real clock.
+#: Seed of the traffic, which is the same in each run; sockets and clock are real.
 SEED = 1
 
 
 def try_system(arguments: Sequence[str]) -> int:
-    """Run a small system on loopback under failures, and judge it."""
-    # The HTTP libraries log each call, and each watch that the end cuts short.
+    """Run a small system on loopback under failures and check its guarantees."""
+    # The HTTP libraries log each call, and each watch that is cancelled at the end.
     logging.getLogger().setLevel(logging.CRITICAL)
     configure_logs(LogsSection(level="error"))
     report = anyio.run(demonstrate, SEED, print)
@@ -29,11 +29,11 @@
 
 
 def print_report(report: Report) -> None:
-    """Print a report as a table and the verdict."""
+    """Print a report as a table, and whether all guarantees held."""
     rows = report.rows()
     width = max(len(name) for name, _ in rows)
     print()
     for name, value in rows:
         print(f"{name:{width}}  {value:>8}")
     print()
-    print("every promise held" if report.passed else "a promise was broken")
+    print("no guarantee was violated" if report.passed else "a guarantee was violated")
--- a/citronspring/cli/views.py
+++ b/citronspring/cli/views.py
@@ -1,4 +1,4 @@
-"""Commands that only look: templates, accounts, status and dumps."""
+"""Commands that show templates, accounts and hosts, and the one that drains a host."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
     from citronspring.cli.commands import Invocation
 
-#: Prints a host's answer for people.
+#: Type of a function that prints a host's answer as a table.
 Printer = "Callable[[dict[str, Any]], None]"
 
 
 def view(
     invocation: Invocation, path: str, print_answer: Callable[[dict[str, Any]], None]
 ) -> int:
-    """Read a path and print what it holds."""
+    """Read a path and print the answer, as JSON or with ``print_answer``."""
     answer = AdminClient.from_flags(invocation).get(path)
     if invocation.flags["output"] == "json":
         print_json(answer)
@@ -31,8 +31,10 @@
     try:
         print_answer(answer)
     except (KeyError, TypeError, AttributeError):
-        message = f"{path}: the host's answer has another form"
-        raise RemoteError("error", message, "use the host's release") from None
+        message = f"{path}: the host's answer has an unexpected form"
+        raise RemoteError(
+            "error", message, "use the command line of the host's release"
+        ) from None
     return 0
 
 
@@ -111,8 +113,10 @@
 
 
 def print_status(answer: dict[str, Any]) -> None:
-    """Print the status as a host sees it."""
-    print(f"as {answer['host']} sees it; revision {answer['revision']} in force there")
+    """Print the status as known to a host."""
+    print(
+        f"as known to {answer['host']}, which has applied revision {answer['revision']}"
+    )
     print()
     names = ("host", "zone", "state", "revision")
     print_table(names, [[row[name] for name in names] for row in answer["hosts"]])
--- a/tests/test_cli/conftest.py
+++ b/tests/test_cli/conftest.py
@@ -1,4 +1,4 @@
-"""Hosts whose administration API the command line talks to."""
+"""Fixtures: administration APIs of hosts on real sockets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class AnswerLosingApplication:
-    """Runs requests that change something, and loses some of the answers."""
+    """Processes all requests, but loses some responses to changes."""
 
     application: object
     losses: int = 0
@@ -31,12 +31,12 @@
             pass
 
         await self.application(scope, receive, lose)
-        raise ConnectionError("the answer is lost")
+        raise ConnectionError("the response is lost")
 
 
 @dataclass
 class ServedApi:
-    """A host's API on a real socket, and the command line against it."""
+    """The API of a host on a real socket, and the command line as its client."""
 
     harness: ApiHarness
     losing: AnswerLosingApplication
@@ -44,10 +44,10 @@
     capsys: pytest.CaptureFixture[str]
 
     def run(self, *words, code=0):
-        """Run a command; return what it printed on both streams."""
-        found = main([*words, f"--host={self.url}"])
+        """Run a command, check its exit code and return its two output streams."""
+        exit_code = main([*words, f"--host={self.url}"])
         out, err = self.capsys.readouterr()
-        assert found == code, (out, err)
+        assert exit_code == code, (out, err)
         return out, err
 
 
--- a/tests/test_cli/test_commands.py
+++ b/tests/test_cli/test_commands.py
@@ -1,4 +1,4 @@
-"""Commands against a host's API over HTTP."""
+"""Commands as clients of a host's API over HTTP."""
 
 from __future__ import annotations
 
@@ -66,10 +66,10 @@
 
 
 def test_lost_answer_is_retried_with_the_same_change_id(served):
-    """A host commits a drain and its answer is lost on the way.
+    """A host commits a drain and its response is lost.
 
-    The operator must not see a failure for what is in force, nor may the repeated
-    request do it twice: the command sends the same change id and ends well.
+    The command must neither report a failure for a committed change nor commit it
+    twice: it retries with the same change id and succeeds.
     """
     put_examples(served)
     served.losing.losses = 2
@@ -79,10 +79,10 @@
 
 
 def test_outcome_is_unknown_when_every_answer_is_lost(served):
-    """All answers to a drain are lost.
+    """All responses to a drain are lost.
 
-    Exit code 8 and the change id tell the operator what is known: perhaps. The
-    command repeated with that id ends well and the drain was made once.
+    The command exits with code 8 (outcome unknown) and prints the change id. Repeated
+    with that id it succeeds, and the drain is committed once.
     """
     put_examples(served)
     served.losing.losses = 100
@@ -96,7 +96,7 @@
 
 
 def client_with_answers(*answers):
-    """Return a client whose host gives these answers, one after the other."""
+    """Return a client whose host gives these answers in turn."""
     queue = list(answers)
 
     def respond(request):
@@ -112,10 +112,10 @@
 
 
 def test_refusal_after_a_lost_answer_leaves_the_outcome_unknown():
-    """The first answer to a change is lost, the second says "conflict".
+    """The first response to a change is lost, the second is a conflict.
 
-    The conflict may come from a view older than the change itself. To report
-    "refused" would say "not run" of something that perhaps ran.
+    The second host may not have known the change yet, so the conflict does not prove
+    that the change was not committed. "Refused" would be wrong if it was.
     """
     client = client_with_answers(httpx.ReadError("gone"), (409, "conflict"))
     with pytest.raises(OutcomeUnknownError, match="then refused: conflict"):
--- a/tests/test_cli/test_emulate.py
+++ b/tests/test_cli/test_emulate.py
@@ -1,4 +1,4 @@
-"""The command ``emulate``: a line a seed, a verdict, a page with plots."""
+"""The command ``emulate``: a line for each seed, a summary, a report with plots."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 def test_runs_seeds_and_writes_a_report(tmp_path, capsys):
-    page = tmp_path / "report.html"
-    assert main(["emulate", "--seeds=2", "--first=3", f"--report={page}"]) == 0
+    report = tmp_path / "report.html"
+    assert main(["emulate", "--seeds=2", "--first=3", f"--report={report}"]) == 0
     printed = capsys.readouterr().out
     assert "seed 3:" in printed
     assert "2 seeds, 0 with a broken promise" in printed
-    text = page.read_text()
+    text = report.read_text()
     assert text.count("<svg") == 2
     assert "polyline" in text
 
--- a/tests/test_cli/test_errors.py
+++ b/tests/test_cli/test_errors.py
@@ -1,4 +1,4 @@
-"""Every error is one line with a remedy, and the pages agree with the program."""
+"""Error messages are one line with a remedy; help and reference page are complete."""
 
 from __future__ import annotations
 
@@ -69,8 +69,8 @@
 def test_address_in_use_is_one_line(tmp_path, capsys, section, key, kind):
     """A second host process is started on a machine by mistake.
 
-    The operator would see a traceback through the event loop that names no
-    address; the one line names it.
+    Without the check the operator would see a traceback through the event loop that
+    does not name the address; the error line names it.
     """
     found = make_settings()
     tables = found.model_dump(mode="json", exclude_defaults=True, exclude_none=True)
@@ -88,10 +88,10 @@
 
 
 def test_closed_output_pipe_ends_quietly():
-    """The output goes to a pipe whose reader leaves, as `head` does.
+    """The output goes to a pipe whose reader closes it, as `head` does.
 
-    The program would print a traceback, or a second error when Python flushes its
-    output at the end; it ends quietly.
+    The program must print neither a traceback nor a second error when Python flushes
+    its output at exit.
     """
     read_end, write_end = os.pipe()
     os.close(read_end)
--- a/tests/test_cli/test_rolling.py
+++ b/tests/test_cli/test_rolling.py
@@ -1,4 +1,4 @@
-"""All hosts replaced under traffic, by the command line alone."""
+"""Rolling replacement of all hosts under traffic, with the command line only."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 PROGRAM = (sys.executable, "-m", "citronspring")
 
-#: Seconds after which the fabric has noticed that a host leaves.
+#: Time after which the fabric has detected that a host is leaving, seconds.
 FABRIC_LAG = 1.0
 
 
 @dataclass
 class Rolling:
-    """Host processes, and the command line against them."""
+    """Host processes, traffic through them, and commands to replace them."""
 
     system: Loopback
     url: str
@@ -106,7 +106,7 @@
             assert code == 0, text
 
     async def replace(self, section, replacement):
-        """Start one host, then drain another and wait for its end."""
+        """Start a replacement, drain a host and return the exit code of its process."""
         peers = list(self.running.values())
         await self.start_host(replacement, peers)
         self.system.fabric.hosts.append(replacement.tunnel)
@@ -131,12 +131,11 @@
 
 
 async def test_all_hosts_are_replaced_while_two_operators_change_an_account(tmp_path):
-    """Every host is replaced, one after the other, while callers stream.
+    """All hosts are replaced, one after the other, while callers have open flows.
 
-    Each leaving host hands its flows over and exits by itself. Meanwhile two
-    operators put one account from the same revision: one is told of the other's
-    change. No upload, preview or correction breaks, and none runs twice. An
-    opening that is refused was told the truth: it was not run.
+    Each leaving host hands its flows over and exits by itself. Meanwhile two operators
+    put one account from the same revision, and one of them gets a conflict. No upload,
+    preview or correction breaks, none runs twice, and none that was refused ran.
     """
     rng = random.Random(5)
     async with anyio.create_task_group() as group:
--- a/tests/test_cli/test_serve.py
+++ b/tests/test_cli/test_serve.py
@@ -1,4 +1,4 @@
-"""A host process and the command line, over real sockets."""
+"""A host process, operated by the command line over real sockets."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def free_ports(count):
-    """Return ports of loopback that are free for both protocols."""
+    """Return ports of loopback that are free for UDP, and very likely for TCP."""
     with ExitStack() as stack:
         ports = []
         for _ in range(count):
@@ -56,7 +56,7 @@
 
 
 async def run(*words):
-    """Run a command to its end."""
+    """Run a command; return its exit code, output and error output."""
     done = await anyio.run_process([*PROGRAM, *words], check=False)
     return done.returncode, done.stdout.decode(), done.stderr.decode()
 
@@ -68,11 +68,11 @@
 
 
 async def test_host_is_operated_and_stopped_from_the_command_line(tmp_path):
-    """An operator sets up an account, looks, dumps and stops a host.
+    """An operator sets up an account, dumps the state of a host and drains it.
 
-    The host process takes each request beside its packets. The drain ends it by
-    itself with exit code 0, and after that the commands say in a line that nobody
-    answers.
+    The host process serves the API in its event loop, beside its packets. After the
+    drain it exits by itself with code 0, and a command then reports in one line that
+    no host is reachable.
     """
     async with anyio.create_task_group() as group:
         anywhere = Endpoint("127.0.0.1", 0)
