--- a/citronspring/packets.py
+++ b/citronspring/packets.py
@@ -1,8 +1,9 @@
-"""Wire format: Generic UDP Encapsulation around IP packets, to typed packets.
+"""Wire format: IP packets in Generic UDP Encapsulation, decoded to typed packets.
 
-Generic UDP Encapsulation is draft-ietf-intarea-gue; the four bytes are version
-and header length, protocol, and flags. Packets between hosts carry 16 bytes of
-private data that say why, see `RelayFrame`.
+Generic UDP Encapsulation is draft-ietf-intarea-gue. The four bytes of its header are
+version and header length, protocol, and flags. Datagrams between hosts carry 16 bytes
+of private data: the kind of relay and tunnel endpoints, see `RelayFrame`. A caller is
+the client that opens a flow to a service address.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from citronspring.messages import Packet, RelayKind
 from citronspring.tcp_flags import ACK, RST, SYN
 
-#: Largest datagram a tunnel socket takes.
+#: Largest datagram that a tunnel socket receives, bytes.
 MAX_DATAGRAM = 65535
 
 PROTOCOL_ICMP = 1
@@ -29,7 +30,8 @@
 
 GUE_HEADER = bytes([0, PROTOCOL_IPV4, 0, 0])
 GUE_HEADER_LENGTH = 4
-#: Header length field counts words of four bytes after the first.
+#: Words of private data in a relay header. The header length field counts words of four
+#: bytes after the first word.
 RELAY_EXTENSION_WORDS = 4
 RELAY_HEADER = struct.Struct(">BBHB3x4sH4sH")
 RELAY_HEADER_LENGTH = RELAY_HEADER.size
@@ -40,7 +42,7 @@
 TCP_HEADER = struct.Struct(">2s2sIIBB")
 PORTS = struct.Struct(">2s2s")
 
-#: What flow keys of each protocol begin with.
+#: Prefixes of flow keys, by protocol.
 TCP_PREFIX = bytes([PROTOCOL_TCP])
 UDP_PREFIX = bytes([PROTOCOL_UDP])
 FLOW_KEY_PREFIXES = {PROTOCOL_TCP: TCP_PREFIX, PROTOCOL_UDP: UDP_PREFIX}
@@ -54,7 +56,9 @@
 
 def malformed_packet(kind: str) -> MalformedPacketError:
     """Return the error for a packet that is dropped and counted under a kind."""
-    return MalformedPacketError(kind, "the sender must send whole IPv4 TCP or UDP")
+    return MalformedPacketError(
+        kind, "the sender must send complete, unfragmented IPv4 TCP or UDP"
+    )
 
 
 @dataclass(slots=True)
@@ -64,24 +68,24 @@
     kind: RelayKind
     flow: FlowKey
     packet: Packet | None
-    #: Tunnel of the target that sent the packet, if an answer.
+    #: Tunnel of the target that sent the packet; None unless it is an answer.
     source: Endpoint | None
     #: Tunnel of the target that is proposed or bound.
     target: Endpoint | None
 
 
 def encapsulate(inner: bytes) -> bytes:
-    """Return a datagram that carries an IPv4 packet through a tunnel."""
+    """Return the tunnel datagram that carries an IPv4 packet."""
     return GUE_HEADER + inner
 
 
 def decapsulate(datagram: bytes) -> bytes:
-    """Return the IPv4 packet a tunnel datagram carries.
+    """Return the IPv4 packet in a tunnel datagram.
 
     Raises
     ------
     MalformedPacketError
-        If it is truncated, or not version 0, data, IPv4 and without options.
+        It is truncated, or not a version 0 data message with IPv4 and no options.
     """
     if datagram.startswith(GUE_HEADER):
         return datagram[GUE_HEADER_LENGTH:]
@@ -91,10 +95,10 @@
 
 
 def decode_packet(data: bytes, from_caller: bool) -> Packet:
-    """Read the fields that routing needs from an IPv4 packet.
+    """Return an IPv4 packet with the decoded fields that routing needs.
 
-    Payload on a SYN is cut off: it would otherwise reach two targets when the
-    opening is retried. The caller sends it again, as TCP allows.
+    Payload on a SYN of the caller is removed: it could otherwise reach two targets
+    when the opening is retried. The caller retransmits it, as TCP allows.
 
     Raises
     ------
@@ -106,19 +110,19 @@
     first, total, fragment, protocol, source, destination = IPV4_HEADER.unpack_from(
         data
     )
-    header = (first & 0x0F) * 4
-    if first >> 4 != 4 or header < IPV4_HEADER_LENGTH:
+    header_length = (first & 0x0F) * 4
+    if first >> 4 != 4 or header_length < IPV4_HEADER_LENGTH:
         raise malformed_packet("ip-header")
-    if total > len(data) or total < header + UDP_HEADER_LENGTH:
+    if total > len(data) or total < header_length + UDP_HEADER_LENGTH:
         raise malformed_packet("truncated")
     if fragment & FRAGMENT_MASK:
         raise malformed_packet("fragment")
     if protocol == PROTOCOL_TCP:
-        return decode_tcp(data[:total], header, source, destination, from_caller)
+        return decode_tcp(data[:total], header_length, source, destination, from_caller)
     if protocol == PROTOCOL_UDP:
-        return decode_udp(data[:total], header, source, destination, from_caller)
+        return decode_udp(data[:total], header_length, source, destination, from_caller)
     if protocol == PROTOCOL_ICMP:
-        return decode_icmp(data[:total], header, from_caller)
+        return decode_icmp(data[:total], header_length, from_caller)
     raise malformed_packet("protocol")
 
 
@@ -130,8 +134,8 @@
     destination_port: bytes,
     from_caller: bool,
 ) -> FlowKey:
-    """Return the flow key from raw header fields of either direction."""
-    # No `FlowKey(...)` here: that is a call, and this runs for each packet.
+    """Return the flow key for the header fields of a packet in either direction."""
+    # `FlowKey(...)` would be a call, and this runs for each packet.
     key: FlowKey
     if from_caller:
         key = prefix + destination + destination_port + source + source_port
@@ -141,14 +145,18 @@
 
 
 def decode_tcp(
-    data: bytes, header: int, source: bytes, destination: bytes, from_caller: bool
+    data: bytes,
+    header_length: int,
+    source: bytes,
+    destination: bytes,
+    from_caller: bool,
 ) -> Packet:
-    """Read a TCP segment."""
-    if len(data) < header + TCP_HEADER_LENGTH:
+    """Return a decoded TCP segment; raises MalformedPacketError."""
+    if len(data) < header_length + TCP_HEADER_LENGTH:
         raise malformed_packet("truncated")
-    sport, dport, seq, ack, offset, flags = TCP_HEADER.unpack_from(data, header)
-    start = header + (offset >> 4) * 4
-    if start < header + TCP_HEADER_LENGTH or start > len(data):
+    sport, dport, seq, ack, offset, flags = TCP_HEADER.unpack_from(data, header_length)
+    start = header_length + (offset >> 4) * 4
+    if start < header_length + TCP_HEADER_LENGTH or start > len(data):
         raise malformed_packet("tcp-header")
     flow = make_flow_key(TCP_PREFIX, source, sport, destination, dport, from_caller)
     length = len(data) - start
@@ -159,19 +167,26 @@
 
 
 def decode_udp(
-    data: bytes, header: int, source: bytes, destination: bytes, from_caller: bool
+    data: bytes,
+    header_length: int,
+    source: bytes,
+    destination: bytes,
+    from_caller: bool,
 ) -> Packet:
-    """Read a UDP datagram."""
-    sport, dport = PORTS.unpack_from(data, header)
+    """Return a decoded UDP datagram."""
+    sport, dport = PORTS.unpack_from(data, header_length)
     flow = make_flow_key(UDP_PREFIX, source, sport, destination, dport, from_caller)
-    length = len(data) - header - UDP_HEADER_LENGTH
+    length = len(data) - header_length - UDP_HEADER_LENGTH
     return Packet(flow, from_caller, 0, 0, 0, length, data)
 
 
-def decode_icmp(data: bytes, header: int, from_caller: bool) -> Packet:
-    """Read an ICMP destination unreachable, which follows the flow it names."""
-    inner = header + ICMP_HEADER_LENGTH
-    if data[header] != ICMP_UNREACHABLE:
+def decode_icmp(data: bytes, header_length: int, from_caller: bool) -> Packet:
+    """Return a decoded ICMP destination unreachable, with the flow that it quotes.
+
+    It is routed with that flow; raises MalformedPacketError.
+    """
+    inner = header_length + ICMP_HEADER_LENGTH
+    if data[header_length] != ICMP_UNREACHABLE:
         raise malformed_packet("icmp")
     if len(data) < inner + IPV4_HEADER_LENGTH:
         raise malformed_packet("truncated")
@@ -181,13 +196,13 @@
         raise malformed_packet("icmp")
     sport, dport = PORTS.unpack_from(data, ports_at)
     prefix = FLOW_KEY_PREFIXES[protocol]
-    # The error quotes a packet that went the other way.
+    # The ICMP message quotes a packet of the opposite direction.
     flow = make_flow_key(prefix, source, sport, destination, dport, not from_caller)
     return Packet(flow, from_caller, 0, 0, 0, 0, data, unreachable=True)
 
 
 def strip_payload(data: bytes, start: int) -> bytes:
-    """Return a TCP segment cut off after its header, with checksums renewed."""
+    """Return a TCP segment without payload, with new length and checksums."""
     packet = dpkt.ip.IP(data[:start])
     packet.len = start
     packet.sum = 0
@@ -198,7 +213,7 @@
 def encode_tcp(
     flow: FlowKey, from_caller: bool, flags: int, seq: int, ack: int, payload: bytes
 ) -> bytes:
-    """Build an IPv4 TCP segment of a flow."""
+    """Return an IPv4 packet with a TCP segment of a flow."""
     service, service_port, caller, caller_port = split_flow_key(flow)
     segment = dpkt.tcp.TCP(seq=seq, ack=ack, flags=flags, win=65535, data=payload)
     source, destination = (caller, service) if from_caller else (service, caller)
@@ -208,7 +223,7 @@
 
 
 def encode_udp(flow: FlowKey, from_caller: bool, payload: bytes) -> bytes:
-    """Build an IPv4 UDP datagram of a flow."""
+    """Return an IPv4 packet with a UDP datagram of a flow."""
     service, service_port, caller, caller_port = split_flow_key(flow)
     datagram = dpkt.udp.UDP(data=payload)
     datagram.ulen = UDP_HEADER_LENGTH + len(payload)
@@ -221,24 +236,24 @@
 def build_ip(
     protocol: int, source: bytes, destination: bytes, body: dpkt.Packet
 ) -> bytes:
-    """Build an IPv4 packet; dpkt fills in the checksums."""
+    """Return an IPv4 packet; dpkt computes the checksums."""
     packet = dpkt.ip.IP(src=source, dst=destination, p=protocol, ttl=64, data=body)
     packet.len = IPV4_HEADER_LENGTH + len(body)
     return bytes(packet)
 
 
 def split_flow_key(flow: FlowKey) -> tuple[bytes, int, bytes, int]:
-    """Return service address and port, caller address and port of an IPv4 key."""
+    """Return service address and port, caller address and port of an IPv4 flow key."""
     service_port = int.from_bytes(flow[5:7], "big")
     caller_port = int.from_bytes(flow[11:13], "big")
     return flow[1:5], service_port, flow[7:11], caller_port
 
 
 def build_refusal(packet: Packet, text: str) -> bytes:
-    """Build the answer to an opening that was not run.
+    """Return the packet that refuses an opening, which was not run.
 
-    A SYN gets a reset whose data says why and when to come back (RFC 9293, 3.5.2);
-    a datagram gets ICMP communication administratively prohibited.
+    A SYN gets a reset whose data gives the reason and when to retry (RFC 9293, 3.5.2).
+    A datagram gets an ICMP "communication administratively prohibited".
     """
     if packet.flow[0] == PROTOCOL_TCP:
         acknowledged = (packet.seq + 1) & 0xFFFFFFFF
@@ -254,21 +269,21 @@
 
 
 def pack_endpoint(endpoint: Endpoint | None) -> tuple[bytes, int]:
-    """Return address and port of a tunnel; zeros for none."""
+    """Return the header fields for an endpoint, zeros for None."""
     if endpoint is None:
         return bytes(4), 0
     return socket.inet_aton(endpoint.ip), endpoint.port
 
 
 def unpack_endpoint(address: bytes, port: int) -> Endpoint | None:
-    """Return the endpoint two header fields name; None for zeros."""
+    """Return the endpoint in two header fields, None if the port is 0."""
     if port == 0:
         return None
     return Endpoint(socket.inet_ntoa(address), port)
 
 
 def encode_relay(frame: RelayFrame) -> bytes:
-    """Build the datagram that hands a packet or binding to another host."""
+    """Return the datagram that relays a packet or a binding to another host."""
     protocol = PROTOCOL_NONE if frame.packet is None else PROTOCOL_IPV4
     from_caller = 1 if frame.packet is None or frame.packet.from_caller else 0
     header = RELAY_HEADER.pack(
@@ -284,7 +299,7 @@
 
 
 def decode_relay(datagram: bytes) -> RelayFrame:
-    """Read a datagram from another host.
+    """Return the frame in a datagram from another host.
 
     Raises
     ------
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -1,4 +1,4 @@
-"""Wire format: round trips, damage, and the reset that ends a half-open flow."""
+"""Wire format: round trips, malformed and corrupted packets, payload on a SYN."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 
 def decode_as_every_kind(data):
-    """Decode bytes as every kind of datagram a host receives."""
+    """Decode bytes as each kind of datagram that a host receives."""
     for decode in (
         lambda: decode_packet(data, True),
         lambda: decode_packet(data, False),
@@ -108,7 +108,7 @@
 
 
 def samples():
-    """Return one datagram of each kind a host receives."""
+    """Return a datagram of each kind that a host receives."""
     segment = encode_tcp(FLOW, True, SYN, 1, 0, b"early data")
     datagram = encode_udp(DATAGRAM_FLOW, True, b"query")
     refusal = build_refusal(decode_packet(datagram, True), "x")
@@ -124,11 +124,11 @@
 @settings(DETERMINISTIC, max_examples=1000)
 @given(st.sampled_from(samples()), st.data())
 def test_corrupted_packets_are_decoded_or_malformed(sample, data):
-    """A host goes on whatever arrives at its sockets.
+    """Corrupted datagrams must not end the process.
 
-    Real packets are cut and some of their bytes replaced, which passes more of the
-    checks than random bytes do. Anything but a packet or the counted error would
-    end the process, and with it every flow it forwards.
+    Valid datagrams are truncated and some of their bytes replaced, which passes more of
+    the checks than random bytes do. Any exception but the counted one would end the
+    process, and with it every flow it forwards.
     """
     damaged = bytearray(sample[: data.draw(st.integers(0, len(sample)))])
     for _ in range(data.draw(st.integers(0, 4))):
@@ -165,10 +165,10 @@
 
 
 def test_payload_of_a_syn_is_stripped():
-    """A request that came with its SYN is not run by two targets.
+    """A request in the payload of a SYN must not run at two targets.
 
-    The opening may be retried at another target after the first one took the data.
-    Without it the caller sends it again, on the connection that opened.
+    The opening may be retried at another target after the first one received the data.
+    The payload is removed, and the caller retransmits it on the open connection.
     """
     data = encode_tcp(FLOW, True, SYN, 7, 0, b"correction")
     packet = decode_packet(data, True)
