--- a/citronspring/application.py
+++ b/citronspring/application.py
@@ -1,4 +1,4 @@
-"""The application object: wires parts together through named events."""
+"""The application object, which connects components through named events."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Events a part may listen to, and the arguments each listener gets.
+#: Events by name, with the arguments that each listener gets.
 EVENTS = {
     "started": "no argument",
     "packet-dropped": "kind: str",
@@ -28,10 +28,10 @@
         self.listeners: dict[str, list[Callable[..., None]]] = defaultdict(list)
 
     def connect(self, event: str, listener: Callable[..., None]) -> None:
-        """Have a listener called whenever an event is emitted."""
+        """Register a listener for an event."""
         if event not in EVENTS:
             known = ", ".join(sorted(EVENTS))
-            raise CitronspringError(f"no event {event!r}", f"use one of {known}")
+            raise CitronspringError(f"unknown event {event!r}", f"use one of {known}")
         self.listeners[event].append(listener)
 
     def emit(self, event: str, *args: Any) -> None:
--- a/citronspring/demonstration.py
+++ b/citronspring/demonstration.py
@@ -1,4 +1,7 @@
-"""The command ``try``: a small system under failure, judged by its callers."""
+"""The command ``try``: a small system under failures, checked by its callers.
+
+A caller is a client that opens flows to a service address.
+"""
 
 from __future__ import annotations
 
@@ -26,56 +29,56 @@
     from citronspring.entities import Account, ServiceAddress, Snapshot
     from citronspring.standins.service import CallerSession
 
-#: Seconds that new requests arrive for.
+#: Duration of the traffic: time for which new requests arrive, seconds.
 TRAFFIC_SECONDS = 14.0
 
-#: Seconds the last requests may take to end.
+#: Time-out for the requests that are open at the end of the traffic, seconds.
 FINISH_TIMEOUT_SECONDS = 8.0
 
-#: New short requests a second.
+#: Mean rate of new short requests, requests a second.
 REQUESTS_PER_SECOND = 120.0
 
-#: Size in bytes and rate in bytes a second of the long flows.
+#: Size of a long flow, bytes, and its rate, bytes a second.
 LONG_FLOW_BYTES = 120_000
 LONG_FLOW_RATE = 10_000.0
 
-#: Seconds after which the fabric has noticed that a host died.
+#: Time after which the fabric has detected that a host stopped, seconds.
 FABRIC_LAG = 1.0
 
-#: Seconds a leaving target may still get new work.
+#: Time for which a leaving target may still get new flows, seconds.
 DRAIN_GRACE = 4.0
 
-#: Seconds between two samples of the load.
+#: Interval between two samples of the imbalance, seconds.
 SAMPLE_INTERVAL = 0.5
 
-#: Live connections on the least number of which an imbalance means something.
+#: Minimum of live connections for a sample: with fewer, the imbalance means little.
 MIN_SAMPLED_CONNECTIONS = 20
 
 HOSTS = 3
 
-#: Where the platform's stand-in listens; port 0 stands for any free one.
+#: Endpoint of the in-memory platform; port 0 stands for any free port.
 PLATFORM_ENDPOINT = Endpoint("127.0.3.4", 0)
 
 
 @dataclass(slots=True)
 class Report:
-    """What came of a run."""
+    """The results of a run."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
-    #: Requests that ran more than once though they must not.
+    #: Requests that ran more than once, which none may.
     run_twice: int = 0
     #: Packets that reached a target of another client account.
     foreign: int = 0
-    #: New flows on the leaving target after its grace.
+    #: New flows on the leaving target after `DRAIN_GRACE`.
     late_flows: int = 0
     #: Maximum over mean of live connections, averaged over the samples.
     imbalance: float = 0.0
-    #: Control bytes a second, the most over the hosts.
+    #: Control traffic of the host that sent most, bytes a second.
     control_bytes: float = 0.0
 
     @property
     def passed(self) -> bool:
-        """Whether every promise held."""
+        """Whether no guarantee was violated."""
         broken = self.outcomes["broken"] + self.outcomes["wrong"]
         return not (broken or self.run_twice or self.foreign or self.late_flows)
 
@@ -98,7 +101,7 @@
 
 @dataclass(slots=True)
 class Demonstration:
-    """One run: the system, its traffic and what happens to it."""
+    """One run: the system, its traffic and the injected failures."""
 
     system: Loopback
     operator: Operator
@@ -112,7 +115,7 @@
     drained_at: float = 0.0
 
     async def run(self) -> Report:
-        """Run traffic and failures; return what came of them."""
+        """Run traffic and failures; return the results."""
         self.started_at = anyio.current_time()
         for account in self.accounts:
             self.open_long_flows(account)
@@ -124,7 +127,7 @@
         return self.build_report()
 
     def elapsed(self) -> float:
-        """Return seconds since the start."""
+        """Return the seconds since the start."""
         return anyio.current_time() - self.started_at
 
     def open_long_flows(self, account: Account) -> None:
@@ -134,7 +137,7 @@
             name = f"{account.account_id}-long-{kind.value.lower()}"
             self.open(address, Request(name, kind, LONG_FLOW_BYTES, LONG_FLOW_RATE))
         self.report_progress(
-            f"a long upload and a long preview of {account.account_id} begin"
+            f"started a long upload and a long preview of {account.account_id}"
         )
 
     def open(self, address: ServiceAddress, request: Request) -> None:
@@ -142,7 +145,7 @@
         self.sessions.append(self.system.caller.open(address, request))
 
     async def generate_requests(self) -> None:
-        """Let short requests of every kind arrive."""
+        """Open short requests of all kinds at random times."""
         rng = self.system.rng
         while self.elapsed() < TRAFFIC_SECONDS:
             account = rng.choice(self.accounts)
@@ -153,14 +156,14 @@
             await anyio.sleep(rng.expovariate(REQUESTS_PER_SECOND))
 
     async def sample_imbalance(self) -> None:
-        """Note the imbalance from time to time."""
+        """Sample the imbalance of each client account at fixed intervals."""
         while self.elapsed() < TRAFFIC_SECONDS:
             await anyio.sleep(SAMPLE_INTERVAL)
             for account in self.accounts:
                 self.sample_account(account)
 
     def sample_account(self, account: Account) -> None:
-        """Note the imbalance over the active targets of an account."""
+        """Sample the imbalance over the active targets of a client account."""
         counts = [
             self.system.targets[target.target_id].stack.open_count
             for target in account.targets
@@ -170,7 +173,7 @@
             self.imbalance_samples.append(max(counts) * len(counts) / sum(counts))
 
     async def inject_failures(self) -> None:
-        """Drain a target, stop a host and kill another, one after the other."""
+        """Drain a target, then stop a host gracefully, then kill another."""
         await anyio.sleep(3.0)
         await self.drain_target()
         await anyio.sleep(4.0)
@@ -179,7 +182,7 @@
         await self.kill_host("host-2")
 
     async def drain_target(self) -> None:
-        """Drain the target that holds a long upload."""
+        """Drain the target of the first account that has the most open flows."""
         account = self.accounts[0]
         busiest = max(
             account.targets,
@@ -188,34 +191,34 @@
         await self.operator.drain(account.account_id, busiest.target_id)
         self.drained, self.drained_at = busiest.target_id, anyio.current_time()
         self.report_progress(
-            f"target {busiest.target_id} drains while streams run on it"
+            f"draining target {busiest.target_id}, which has open flows"
         )
 
     async def leave_host(self, host_id: str) -> None:
         """Stop a host gracefully."""
         daemon = self.system.hosts[host_id]
-        self.report_progress(f"{host_id} leaves")
+        self.report_progress(f"stopping {host_id} gracefully")
         daemon.leave()
         await anyio.sleep(FABRIC_LAG)
         self.system.fabric.hosts.remove(daemon.settings.host.tunnel)
 
     async def kill_host(self, host_id: str) -> None:
-        """Lose a host without warning."""
+        """Stop a host abruptly, as a crash does."""
         daemon = self.system.hosts[host_id]
-        self.report_progress(f"{host_id} dies")
+        self.report_progress(f"killing {host_id}")
         self.system.scopes[host_id].cancel()
         await anyio.sleep(FABRIC_LAG)
         self.system.fabric.hosts.remove(daemon.settings.host.tunnel)
 
     async def wait_for_sessions(self) -> None:
-        """Wait for the last requests."""
-        self.report_progress("no new requests; the last ones end")
+        """Wait for the open requests, up to `FINISH_TIMEOUT_SECONDS`."""
+        self.report_progress("no new requests; waiting for the open ones")
         with anyio.move_on_after(FINISH_TIMEOUT_SECONDS):
             while any(session.outcome is None for session in self.sessions):
                 await anyio.sleep(0.1)
 
     def build_report(self) -> Report:
-        """Compare what happened with the promises."""
+        """Return the report, which checks the results against the guarantees."""
         report = Report()
         for session in self.sessions:
             outcome = session.outcome or Outcome.BROKEN
@@ -223,17 +226,17 @@
         runs = Counter(request_id for request_id, _ in self.system.ran)
         report.run_twice = sum(count > 1 for count in runs.values())
         report.foreign = sum(item.foreign for item in self.system.targets.values())
-        grace = self.drained_at + DRAIN_GRACE
+        grace_end = self.drained_at + DRAIN_GRACE
         if self.drained:
             accepted = self.system.targets[self.drained].stack.accepted_at
-            report.late_flows = sum(at > grace for at in accepted)
+            report.late_flows = sum(at > grace_end for at in accepted)
         if self.imbalance_samples:
             report.imbalance = sum(self.imbalance_samples) / len(self.imbalance_samples)
         report.control_bytes = self.max_control_rate()
         return report
 
     def max_control_rate(self) -> float:
-        """Return the control bytes a second of the host that sent most."""
+        """Return the control traffic of the host that sent most, bytes a second."""
         sent = [
             daemon.core.tables.counters["control.bytes_sent"]
             for daemon in self.system.hosts.values()
@@ -242,12 +245,12 @@
 
 
 async def demonstrate(seed: int, report_progress: Callable[[str], None]) -> Report:
-    """Run the whole system once on loopback.
+    """Run the whole system once on loopback and return the report.
 
     Parameters
     ----------
     seed : int
-        Seed of arrivals, spray and sequence numbers.
+        Seed of arrivals, of the fabric's choice of hosts and of sequence numbers.
     report_progress : callable
         Called with each line of progress.
     """
@@ -263,7 +266,7 @@
             await operator.set_up(system.tunnel_port)
             snapshot = await store.read_snapshot()
             await start_system(system, snapshot, store, url)
-            report_progress(f"{HOSTS} hosts and {len(system.targets)} targets run")
+            report_progress(f"started {HOSTS} hosts and {len(system.targets)} targets")
             run = Demonstration(system, operator, snapshot.accounts, report_progress)
             report = await run.run()
         group.cancel_scope.cancel()
--- a/citronspring/errors.py
+++ b/citronspring/errors.py
@@ -1,4 +1,4 @@
-"""The hierarchy of typed errors; each message names the remedy."""
+"""Typed errors; each has a message and a remedy."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
         What the reader can do about it, in one line.
     """
 
-    #: Stable word for machines: exit codes and problem documents use it.
+    #: Stable identifier for programs; exit codes and problem documents use it.
     kind = "error"
 
     def __init__(self, message: str, remedy: str = "") -> None:
@@ -24,7 +24,7 @@
 
 
 class SettingsError(CitronspringError):
-    """A settings file does not describe a process."""
+    """The settings of a process are not valid."""
 
     kind = "settings"
 
@@ -42,7 +42,7 @@
 
 
 class ConflictError(CitronspringError):
-    """Another operator changed the same client account first.
+    """Another operator has changed the same client account since it was read.
 
     Parameters
     ----------
@@ -51,7 +51,7 @@
     change_id : str
         The other operator's change.
     revision : int
-        Where the other change was committed.
+        Revision at which the other change was committed.
     difference : tuple of str
         What the other change did to the account, a line per difference.
     """
@@ -74,14 +74,14 @@
 
 
 class MoveRefusedError(CitronspringError):
-    """An address still belongs, somewhere, to another client account.
+    """An address still belongs to another client account in some availability zone.
 
     Parameters
     ----------
     message, remedy : str
         As for every error.
     zones : tuple of str
-        Zones that have not confirmed yet that the address left.
+        Zones that have not yet confirmed that the other account released the address.
     """
 
     kind = "move-refused"
@@ -94,7 +94,7 @@
 
 
 class PlatformUnavailableError(CitronspringError):
-    """The platform gave no answer, and nothing was changed."""
+    """The platform is unavailable; nothing was changed."""
 
     kind = "platform-unavailable"
 
@@ -112,7 +112,7 @@
 
 
 class ChangesLostError(StoredValueError):
-    """The platform came back from an older copy without accepted changes."""
+    """The platform was restored from a backup that lacks accepted changes."""
 
     kind = "changes-lost"
 
@@ -124,7 +124,7 @@
 
 
 class MalformedPacketError(CitronspringError):
-    """Bytes from the network are not a packet this balancer forwards."""
+    """A datagram from the network is not a packet that the balancer forwards."""
 
     kind = "malformed-packet"
 
@@ -137,7 +137,7 @@
     message, remedy : str
         As for every error.
     reason : str
-        Stable word under which it is counted.
+        Stable identifier under which it is counted.
     """
 
     kind = "control-message"
--- a/citronspring/http_request.py
+++ b/citronspring/http_request.py
@@ -1,4 +1,4 @@
-"""A request of HTTP, as an adapter hands it to the client, and what came back."""
+"""HTTP requests of the adapters, and the responses that the HTTP client returns."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @record(eq=True)
 class HttpRequest:
-    """What is sent; a body is JSON."""
+    """An HTTP request; a body is JSON."""
 
     method: str
-    #: Path and query.
+    #: Request target (RFC 9112): path and query.
     target: str
     body: bytes = b""
 
     def encode(self, endpoint: Endpoint) -> bytes:
-        """Return the bytes that are sent to a server."""
+        """Return the bytes of the request for a server."""
         head = f"{self.method} {self.target} HTTP/1.1\r\nHost: {endpoint}\r\n"
         if self.body:
             length = len(self.body)
@@ -29,11 +29,11 @@
 
 @record(eq=True)
 class HttpResponse:
-    """What came back of a request."""
+    """The response to a request, or the reason why there is none."""
 
-    #: Status, 0 if there was no answer that can be used.
+    #: Status, 0 without a usable response.
     status: int
-    #: Body of the answer, or why there was none.
+    #: Body of the response, or the reason why there is none.
     body: bytes
-    #: Values by name in small letters.
+    #: Values by name in lower case.
     headers: dict[bytes, bytes] = field(default_factory=dict)
--- a/citronspring/serving.py
+++ b/citronspring/serving.py
@@ -27,17 +27,17 @@
     key: str
 
 
-#: Seconds that open requests get when the server stops.
+#: Grace period for open requests when the server stops, seconds.
 SHUTDOWN_GRACE_SECONDS = 1
 
 
-#: Connections at once; beyond it a client gets 503. Each takes memory and a file
-#: descriptor, and a host needs both for packets.
+#: Maximum concurrent connections; further clients get 503. Each connection takes memory
+#: and a file descriptor, and a host needs both for packets.
 MAX_CONNECTIONS = 512
 
 
 class ApplicationServer(uvicorn.Server):
-    """A server that leaves signals to the process and reports its start."""
+    """A uvicorn server that installs no signal handlers and reports its start."""
 
     def __init__(self, config: uvicorn.Config, stop: Callable[[], None]) -> None:
         super().__init__(config)
@@ -46,22 +46,22 @@
 
     @contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave the signal handlers as they are."""
+        """Keep the signal handlers of the process."""
         yield
 
     async def startup(self, sockets: list[socket.socket] | None = None) -> None:
-        """Start listening and say so."""
+        """Start listening, then set ``ready``."""
         await super().startup(sockets=sockets)
         self.ready.set()
 
     async def shutdown(self, sockets: list[socket.socket] | None = None) -> None:
-        """End what waits in the application, then the connections."""
+        """End the waiting requests of the application, then the connections."""
         self.stop()
         await super().shutdown(sockets=sockets)
 
 
 def do_nothing() -> None:
-    """Stand for an application in which nothing waits for long."""
+    """Do nothing: the ``stop`` of an application without long-waiting requests."""
 
 
 async def serve_application(
@@ -74,21 +74,20 @@
 ) -> None:
     """Serve an ASGI application until cancelled.
 
-    The task starts with the endpoint it listens on: port 0 stands for any free
-    port. Without TLS files it serves in clear text.
+    The task starts with the endpoint it listens on.
 
     Parameters
     ----------
     application : ASGI application
-        What to serve.
+        The application to serve.
     endpoint : Endpoint
-        Where to listen.
+        The address to listen on; port 0 stands for any free port.
     tls : TlsFiles, optional
-        Certificate and key; without them it serves in clear text.
+        Certificate and key; without them the server uses clear text.
     stop : callable
-        Ends the requests that wait in the application when the server stops.
+        Called when the server stops; ends the requests that wait in the application.
     task_status : TaskStatus
-        Reports the start.
+        Reports the endpoint when the server listens.
     """
     listener = bind(endpoint)
     ip, port = listener.getsockname()[:2]
@@ -117,16 +116,16 @@
 
 
 async def serve_shielded(server: ApplicationServer, listener: socket.socket) -> None:
-    """Run a server that ends by ``should_exit`` alone.
+    """Run a server until ``should_exit`` is set, shielded from cancellation.
 
-    Cancelled in its main loop, it would leave its connections open.
+    If its main loop were cancelled, it would leave its connections open.
     """
     with anyio.CancelScope(shield=True):
         await server.serve(sockets=[listener])
 
 
 def bind(endpoint: Endpoint) -> socket.socket:
-    """Open a listening socket; raises SettingsError when the address is not free."""
+    """Return a socket bound to an endpoint; raises SettingsError if that fails."""
     family = socket.AF_INET6 if ":" in endpoint.ip else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -140,6 +139,6 @@
 
 
 def bind_error(endpoint: Endpoint, error: OSError) -> SettingsError:
-    """Make the error of an address that this process cannot have."""
+    """Return the error for an endpoint that cannot be bound."""
     remedy = "free the address, or change the settings"
     return SettingsError(f"cannot listen on {endpoint}: {error.strerror}", remedy)
--- a/citronspring/tcp_flags.py
+++ b/citronspring/tcp_flags.py
@@ -1,6 +1,7 @@
-"""TCP flags of a packet, with the values they have in a TCP header.
+"""Flags of the TCP header.
 
-Plain integers: on the hot path arithmetic of an enum costs more than routing.
+They are plain integers: on the hot path, arithmetic on members of an enumeration costs
+more than routing.
 """
 
 from __future__ import annotations
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Builders that many tests share."""
+"""Builders and fixtures that many tests share."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class StaticConfiguration:
-    """A configuration that never changes, or a platform that is down."""
+    """A configuration that never changes; without one, an unavailable platform."""
 
     def __init__(self, snapshot: Snapshot | None) -> None:
         self.snapshot = snapshot
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path: separate processes, real sockets, configuration from the platform."""
+"""End to end: separate processes, real sockets, configuration from the platform."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 pytestmark = pytest.mark.anyio
 
-#: A free port, so that two runs on one machine do not meet.
+#: Any free port, so that two runs on one machine do not conflict.
 PLATFORM = Endpoint("127.0.3.9", 0)
 
 
@@ -41,11 +41,11 @@
 
 
 async def test_upload_through_three_serve_processes(tmp_path):
-    """A poet's upload and a reader's preview through three separate processes.
+    """An upload and a preview run through three separate host processes.
 
-    The fabric sprays their packets at random; each host relays to the flow's
-    owner, which forwards to a target. Both answers come back whole, and SIGTERM
-    ends each process gracefully with exit code 0.
+    The fabric spreads their packets over the hosts at random. Each host relays to the
+    owner of the flow, which forwards to a target. Both requests complete correctly, and
+    each process exits gracefully on SIGTERM with code 0.
     """
     async with anyio.create_task_group() as group:
         url = f"http://{await group.start(serve_platform, MemoryPlatform(), PLATFORM)}"
