--- a/citronspring/admin/tokens.py
+++ b/citronspring/admin/tokens.py
@@ -83,16 +83,16 @@
         """
         if self.allows_anonymous:
             return self.principals[0]
-        given = token_digest(bearer_token(authorization))
-        found = None
+        digest = token_digest(bearer_token(authorization))
+        matching = None
         for principal in self.principals:
-            if hmac.compare_digest(given, principal.digest):
-                found = principal
-        if found is None:
+            if hmac.compare_digest(digest, principal.digest):
+                matching = principal
+        if matching is None:
             raise UnauthorizedError(
                 "the request has no known token", "send 'Authorization: Bearer TOKEN'"
             )
-        return found
+        return matching
 
     def admit(self, principal: Principal, now: float) -> None:
         """Count a request; raises RateLimitedError above the rate limit."""
--- a/citronspring/cli/client.py
+++ b/citronspring/cli/client.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotProcessed:
-    """No host processed the request; a retry is safe."""
+    """The request was not processed; a retry is safe."""
 
     reason: str
     error: RemoteError | None = None
@@ -111,7 +111,7 @@
         revision = self.get("/v1/status").get("newest_revision")
         if type(revision) is not int:
             raise RemoteError(
-                "internal", "the status has no newest_revision", "upgrade the host"
+                "internal", "the status has no newest_revision", "upgrade"
             )
         return make_change_id(revision, uuid.uuid4().hex)
 
--- a/citronspring/tcp_flags.py
+++ b/citronspring/tcp_flags.py
@@ -1,7 +1,6 @@
-"""Flags of the TCP header.
+"""TCP flags of a packet, with the values they have in a TCP header.
 
-They are plain integers: on the hot path, arithmetic on members of an enumeration costs
-more than routing.
+Plain integers: on the hot path arithmetic of an enum costs more than routing.
 """
 
 from __future__ import annotations
