--- a/citronspring/demonstration.py
+++ b/citronspring/demonstration.py
@@ -65,7 +65,7 @@
     """The results of a run."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
-    #: Requests that ran more than once, which none may.
+    #: Requests that ran more than once; none may.
     run_twice: int = 0
     #: Packets that reached a target of another client account.
     foreign: int = 0
--- a/citronspring/packets.py
+++ b/citronspring/packets.py
@@ -68,7 +68,7 @@
     kind: RelayKind
     flow: FlowKey
     packet: Packet | None
-    #: Tunnel of the target that sent the packet; None unless it is an answer.
+    #: Tunnel of the target that sent the packet; None unless the packet is an answer.
     source: Endpoint | None
     #: Tunnel of the target that is proposed or bound.
     target: Endpoint | None
@@ -103,7 +103,7 @@
     Raises
     ------
     MalformedPacketError
-        With the kind under which the packet is counted.
+        The packet is malformed; the message is the kind under which it is counted.
     """
     if len(data) < IPV4_HEADER_LENGTH:
         raise malformed_packet("truncated")
@@ -304,7 +304,7 @@
     Raises
     ------
     MalformedPacketError
-        With the kind under which the datagram is counted.
+        The datagram is malformed; the message is the kind under which it is counted.
     """
     if len(datagram) < RELAY_HEADER_LENGTH:
         raise malformed_packet("truncated")
