--- a/tests/test_tokens/test_change_feed.py
+++ b/tests/test_tokens/test_change_feed.py
@@ -9,7 +9,7 @@
 import pytest
 
 from citronspring.endpoints import Endpoint
-from citronspring.tokens import news as change_feed_module
+from citronspring.tokens import change_feed as change_feed_module
 from citronspring.tokens.change_feed import (
     MAX_LOGGED_CHANGES,
     FeedPoll,
