--- a/citronspring/tokens/admission.py
+++ b/citronspring/tokens/admission.py
@@ -91,14 +91,14 @@
     than answers do, and counted as one of them it would hide how long those take.
     """
     usual = row.usual_size
-    passed = min(now - row.seen_at, MAX_DECAY_SECONDS)
+    elapsed = min(now - row.seen_at, MAX_DECAY_SECONDS)
     row.seen_at = now
     if not usual:
         row.usual_size = float(size)
     elif size > usual:
         row.usual_size = min(usual * (1.0 + SIZE_RISE), float(size))
     elif size < usual * SMALL_ANSWER_RATIO:
-        row.usual_size = usual * (1.0 - SIZE_DECAY * passed)
+        row.usual_size = usual * (1.0 - SIZE_DECAY * elapsed)
         return False
     else:
         row.usual_size = max(usual * (1.0 - SIZE_FALL), float(size))
@@ -137,7 +137,7 @@
     lowest_priority : int
         Priority number of the least urgent route.
     """
-    steps = max(lowest_priority - route.priority, 0)
-    first = SHEDDING_START + steps * PRIORITY_STEP
+    priority_steps = max(lowest_priority - route.priority, 0)
+    first = SHEDDING_START + priority_steps * PRIORITY_STEP
     width = SHEDDING_FULL - SHEDDING_START
     return min(max((delay / route.objective - first) / width, 0.0), 1.0)
--- a/citronspring/tokens/balancer.py
+++ b/citronspring/tokens/balancer.py
@@ -118,13 +118,13 @@
             Seconds for which it meant to sleep since the last turn began.
         """
         tables = self.tables
-        paused = now - tables.iteration_started_at - slept >= STALL_THRESHOLD
-        if paused:
+        stalled = now - tables.iteration_started_at - slept >= STALL_THRESHOLD
+        if stalled:
             tables.stale = True
             tables.counters["pauses"] += 1
             note_disturbance(tables.local_path, now)
         tables.iteration_started_at = now
-        return paused
+        return stalled
 
     def receive(self, packet: Packet, now: float) -> list[Action]:
         """Decide about a packet."""
@@ -240,9 +240,9 @@
         tables = self.tables
         if tables.leave_deadline is None:
             return False
-        left = now - tables.leaving_since >= LEAVE_SECONDS
+        routers_left = now - tables.leaving_since >= LEAVE_SECONDS
         quiet = now - tables.last_packet_at >= QUIET_SECONDS
-        return now >= tables.leave_deadline or (left and quiet)
+        return now >= tables.leave_deadline or (routers_left and quiet)
 
     def dump(self, now: float) -> dict[str, object]:
         """Return the state as plain values, for operators."""
--- a/citronspring/tokens/change_feed.py
+++ b/citronspring/tokens/change_feed.py
@@ -71,13 +71,13 @@
         new to a follower that has read up to there; and to the reader itself it is
         none when its watch brings it again.
     """
-    news = tables.change_log
-    kept = news.changes[-1].revision if news.changes else 0
-    revision = max(tables.reader.revision, newest, kept)
-    news.changes.extend(LoggedChange(revision, change, now) for change in news.pending)
-    news.pending.clear()
-    while len(news.changes) > MAX_LOGGED_CHANGES:
-        news.compacted_revision = news.changes.popleft().revision
+    log = tables.change_log
+    last_revision = log.changes[-1].revision if log.changes else 0
+    revision = max(tables.reader.revision, newest, last_revision)
+    log.changes.extend(LoggedChange(revision, change, now) for change in log.pending)
+    log.pending.clear()
+    while len(log.changes) > MAX_LOGGED_CHANGES:
+        log.compacted_revision = log.changes.popleft().revision
 
 
 def start_change_log(tables: Tables) -> None:
@@ -97,8 +97,8 @@
     """
     reader = tables.reader
     age = now - reader.current_at
-    out_of_use = tables.leave_deadline is not None or tables.configuration == 0
-    if out_of_use or reader.failures or age > times.follow_age:
+    not_serving = tables.leave_deadline is not None or tables.configuration == 0
+    if not_serving or reader.failures or age > times.follow_age:
         return NOT_CURRENT, b"not current\n"
     if epoch_of(poll.after_revision) != epoch_of(reader.revision):
         # What one of both knows may be nothing that the store has held since.
@@ -122,22 +122,22 @@
             "held": held,
         }
     )
-    listed = ", ".join(change_text(logged, now) for logged in changes)
-    body = encode_body(f'{head[:-1]}, "changes": [{listed}]}}')
+    encoded_changes = ", ".join(change_text(logged, now) for logged in changes)
+    body = encode_body(f'{head[:-1]}, "changes": [{encoded_changes}]}}')
     if not take_from_bucket(tables.change_log, len(body) + HEADER_BYTES, now):
         reason = f"{len(body)} bytes are more than the link has room for\n"
         return TOO_FAR_BEHIND, reason.encode()
     return OK, body
 
 
-def changes_above(news: ChangeLog, revision: int) -> list[LoggedChange]:
+def changes_above(log: ChangeLog, revision: int) -> list[LoggedChange]:
     """Return the changes above a revision, oldest first.
 
     Looked for from the newest on: the polls of a zone are asked about at each turn of
     the process, and a reader has no time to go through a whole log each time.
     """
     found = []
-    for logged in reversed(news.changes):
+    for logged in reversed(log.changes):
         if logged.revision <= revision:
             break
         found.append(logged)
@@ -158,14 +158,14 @@
     return logged.text
 
 
-def take_from_bucket(news: ChangeLog, size: int, now: float) -> bool:
+def take_from_bucket(log: ChangeLog, size: int, now: float) -> bool:
     """Take some bytes of what followers may cost; return whether there were enough."""
-    gained = min(now - news.bucket_updated_at, MAX_BURST_SECONDS) * news.rate
-    news.bucket_level = min(news.bucket_level + gained, MAX_BURST_SECONDS * news.rate)
-    news.bucket_updated_at = now
-    if size > news.bucket_level:
+    gained = min(now - log.bucket_updated_at, MAX_BURST_SECONDS) * log.rate
+    log.bucket_level = min(log.bucket_level + gained, MAX_BURST_SECONDS * log.rate)
+    log.bucket_updated_at = now
+    if size > log.bucket_level:
         return False
-    news.bucket_level -= size
+    log.bucket_level -= size
     return True
 
 
--- a/citronspring/tokens/codec.py
+++ b/citronspring/tokens/codec.py
@@ -61,12 +61,12 @@
         return loads(body)
     from zlib import decompressobj, error
 
-    unpacker = decompressobj()
+    decompressor = decompressobj()
     try:
-        text = unpacker.decompress(body, MAX_DECOMPRESSED_BYTES)
+        text = decompressor.decompress(body, MAX_DECOMPRESSED_BYTES)
     except error as cause:
         raise ValueError(f"the body is damaged: {cause}") from cause
-    if not unpacker.eof:
+    if not decompressor.eof:
         raise ValueError("the body is cut off, or too large")
     return loads(text)
 
--- a/citronspring/tokens/entry_updates.py
+++ b/citronspring/tokens/entry_updates.py
@@ -52,28 +52,28 @@
     actions: list[Action],
 ) -> None:
     """Put one entry or removal in force, unless something newer is already."""
-    news: bool
+    changed: bool
     match change:
         case ZoneReader():
-            news = apply_zone_reader(tables, change, actions)
+            changed = apply_zone_reader(tables, change, actions)
         case ReaderRemoved():
-            news = remove_zone_reader(tables, change, actions)
+            changed = remove_zone_reader(tables, change, actions)
         case ZoneDrain():
-            news = apply_zone_drain(tables, change, actions)
+            changed = apply_zone_drain(tables, change, actions)
         case Configuration():
             difference = apply_configuration(tables, change, actions)
             if difference is not None:
                 tables.change_log.pending.append(difference)
             return
         case ConfigurationChange():
-            news = apply_configuration_change(tables, change, actions)
+            changed = apply_configuration_change(tables, change, actions)
         case TargetRemoved():
-            news = remove_target(tables, change, now, actions)
+            changed = remove_target(tables, change, now, actions)
         case Target():
-            news = apply_target(tables, change, now, actions)
+            changed = apply_target(tables, change, now, actions)
         case Unreadable():
-            news = apply_unreadable(tables, change, now, actions)
-    if news:
+            changed = apply_unreadable(tables, change, now, actions)
+    if changed:
         tables.change_log.pending.append(change)
 
 
@@ -339,20 +339,22 @@
                 drained.add(entry.zone)
             case Unreadable():
                 listed.add(entry.name)
-    short = check_restored_services(tables, revision, now)
+    incomplete_services = check_restored_services(tables, revision, now)
     for target_id, row in list(tables.targets.items()):
         known = row.target
         if target_id in listed or known.revision > revision:
             continue
-        if known.service in short and is_of_earlier_epoch(known.revision, revision):
+        if known.service in incomplete_services and is_of_earlier_epoch(
+            known.revision, revision
+        ):
             continue
         apply_change(tables, TargetRemoved(target_id, revision), now, actions)
     for zone in tables.zone_readers.keys() - readers:
         apply_change(tables, ReaderRemoved(zone, revision), now, actions)
     for zone in tables.drained_zones:
         drained_since = tables.zone_drains[zone].revision
-        lost = is_of_earlier_epoch(drained_since, revision)
-        if zone not in drained and drained_since <= revision and not lost:
+        lost_in_restore = is_of_earlier_epoch(drained_since, revision)
+        if zone not in drained and drained_since <= revision and not lost_in_restore:
             end = ZoneDrain(zone, revision, ended=True)
             apply_change(tables, end, now, actions)
 
--- a/citronspring/tokens/evidence.py
+++ b/citronspring/tokens/evidence.py
@@ -88,11 +88,11 @@
     """Take that a target has answered what was sent to it at a time."""
     note_answered_request(tables.local_path, row, sent_at, now)
     row.answered_at = now
-    row.silent_since = INFINITY
+    row.unanswered_since = INFINITY
     row.timeouts = 0
     row.retransmissions = 0
     row.avoid_until = 0.0
-    row.lost_until = -INFINITY
+    row.unreachable_until = -INFINITY
     zone = tables.zone_row(row.target.zone)
     zone.answered_at = now
     zone.answered_sent_at = max(zone.answered_sent_at, sent_at)
@@ -104,7 +104,7 @@
     """Take that an opening or request sent at a time has stayed without an answer."""
     if sent_at < row.answered_at:
         return
-    row.silent_since = min(row.silent_since, sent_at)
+    row.unanswered_since = min(row.unanswered_since, sent_at)
     row.timeouts += 1
     doublings = min(row.timeouts - 1, MAX_DOUBLINGS)
     avoidance = min(INITIAL_AVOIDANCE * 2.0**doublings, MAX_AVOIDANCE)
@@ -138,7 +138,7 @@
     """Suspect the way to a target's zone when several of its targets are silent."""
     zone = tables.zone_row(row.target.zone)
     zone.unresponsive_targets = sum(
-        other.timeouts > 0 and other.silent_since > zone.answered_at
+        other.timeouts > 0 and other.unanswered_since > zone.answered_at
         for other in tables.targets.values()
         if other.target.zone == row.target.zone
     )
@@ -160,7 +160,7 @@
     A full target leaves openings unanswered too, and a rush makes a whole zone suspect
     for a moment.
     """
-    if row.lost_until > now or row.timeouts >= UNREACHABLE_TIMEOUTS:
+    if row.unreachable_until > now or row.timeouts >= UNREACHABLE_TIMEOUTS:
         return True
     zone = tables.zones.get(row.target.zone)
     if zone is None or zone.suspect_until <= now:
@@ -197,7 +197,9 @@
     bursts of callers on small links end the flows of targets that are well.
     """
     row = flow.target
-    if row.lost_until > now and local_path_works(tables, row, row.lost_since, now):
+    if row.unreachable_until > now and local_path_works(
+        tables, row, row.unreachable_since, now
+    ):
         return True
     if flow.retransmissions and is_unreachable_with_zone(tables, flow, now):
         return local_path_works(tables, row, flow.first_sent_at, now, whole_zone=True)
@@ -215,7 +217,7 @@
     zone = tables.zones.get(row.target.zone)
     if zone is None or row.target.zone == tables.zone:
         return False
-    if not row.timeouts or row.silent_since <= zone.answered_at:
+    if not row.timeouts or row.unanswered_since <= zone.answered_at:
         return False
     if flow.retransmissions >= UNREACHABLE_ZONE_RETRANSMISSIONS:
         return True
--- a/citronspring/tokens/forwarding.py
+++ b/citronspring/tokens/forwarding.py
@@ -219,7 +219,7 @@
         "flow": packet.flow,
         "reason": reason.value,
         "target": row.target.target_id,
-        "silent": round(now - row.silent_since, 3),
+        "silent": round(now - row.unanswered_since, 3),
         "silences": row.timeouts,
         "repeats": row.retransmissions,
     }
--- a/citronspring/tokens/inquiry.py
+++ b/citronspring/tokens/inquiry.py
@@ -177,9 +177,9 @@
     since = now - suspicion.age - AGE_MARGIN
     if row is None or max(row.answered_at, row.known_at) >= since:
         return
-    row.lost_since = since
-    row.lost_until = now + VERDICT_LIFETIME
-    row.avoid_until = max(row.avoid_until, row.lost_until)
+    row.unreachable_since = since
+    row.unreachable_until = now + VERDICT_LIFETIME
+    row.avoid_until = max(row.avoid_until, row.unreachable_until)
     fields: dict[str, object] = {
         "target": row.target.target_id,
         "silent": round(now - since, 3),
@@ -217,59 +217,59 @@
 
 def advance_inquiry(tables: Tables, now: float, actions: list[Action]) -> None:
     """End the question that is being asked, and ask the next one if there is one."""
-    table = tables.inquiry
-    inquiry = table.open
+    state = tables.inquiry
+    inquiry = state.open
     if inquiry is not None:
         if inquiry.replied < inquiry.members and now < inquiry.deadline:
             return
-        table.open = None
+        state.open = None
         conclude(tables, inquiry, now, actions)
-    if table.witnesses:
+    if state.witnesses:
         begin_inquiry(tables, now, actions)
 
 
-def next_inquiry_deadline(table: InquiryState) -> float:
+def next_inquiry_deadline(state: InquiryState) -> float:
     """Return the time at which a question ends, infinite while none is asked."""
-    return table.open.deadline if table.open is not None else INFINITY
+    return state.open.deadline if state.open is not None else INFINITY
 
 
 def begin_inquiry(tables: Tables, now: float, actions: list[Action]) -> None:
     """Ask all hosts of the zone about the targets that several have reported."""
-    table = tables.inquiry
-    forget_witnesses(table, now)
+    state = tables.inquiry
+    forget_witnesses(state, now)
     since = {
-        incarnation: silent_since(witnesses)
-        for incarnation, witnesses in table.witnesses.items()
+        incarnation: unresponsive_since(witnesses)
+        for incarnation, witnesses in state.witnesses.items()
         if has_enough_witnesses(witnesses)
-        and table.retry_at.get(incarnation, now) <= now
+        and state.retry_at.get(incarnation, now) <= now
     }
     since = dict(list(since.items())[:MAX_SUSPICIONS])
     if not since or not is_zone_reader(tables):
         return
-    table.members = {
-        host: asked_at
-        for host, asked_at in table.members.items()
-        if now - asked_at <= MEMBER_TIMEOUT
+    state.members = {
+        host: polled_at
+        for host, polled_at in state.members.items()
+        if now - polled_at <= MEMBER_TIMEOUT
     }
-    members = set(table.members)
-    table.number += 1
-    table.open = OpenInquiry(
-        table.number, now + REPLY_TIMEOUT, members, since, set(), set()
+    members = set(state.members)
+    state.number += 1
+    state.open = OpenInquiry(
+        state.number, now + REPLY_TIMEOUT, members, since, set(), set()
     )
-    table.retry_at.update(dict.fromkeys(since, now + INQUIRY_PAUSE))
-    message = Inquiry(table.number, suspicions_of(since, now))
+    state.retry_at.update(dict.fromkeys(since, now + INQUIRY_PAUSE))
+    message = Inquiry(state.number, suspicions_of(since, now))
     actions += [Tell(host, message) for host in members]
 
 
-def forget_witnesses(table: InquiryState, now: float) -> None:
+def forget_witnesses(state: InquiryState, now: float) -> None:
     """Let go of reports that count no more."""
-    for incarnation, witnesses in list(table.witnesses.items()):
+    for incarnation, witnesses in list(state.witnesses.items()):
         fresh = [one for one in witnesses if now - one.heard_at <= REPORT_LIFETIME]
         if fresh:
-            table.witnesses[incarnation] = fresh
+            state.witnesses[incarnation] = fresh
         else:
-            del table.witnesses[incarnation]
-            table.retry_at.pop(incarnation, None)
+            del state.witnesses[incarnation]
+            state.retry_at.pop(incarnation, None)
 
 
 def has_enough_witnesses(witnesses: list[Witness]) -> bool:
@@ -278,7 +278,7 @@
     return len(witnesses) >= MIN_WITNESSES and len(hosts) >= MIN_WITNESS_HOSTS
 
 
-def silent_since(witnesses: list[Witness]) -> float:
+def unresponsive_since(witnesses: list[Witness]) -> float:
     """Return since when a target must have been silent: so many requests are as new.
 
     An answer between them shows that the older ones were lost on their way.
@@ -300,70 +300,73 @@
     tables: Tables, inquiry: OpenInquiry, now: float, actions: list[Action]
 ) -> None:
     """Tell all hosts which targets are lost, if the replies show it."""
-    table = tables.inquiry
-    denied = {
+    state = tables.inquiry
+    refuted = {
         incarnation
         for incarnation, since in inquiry.since.items()
         if incarnation in inquiry.refuted or has_answered(tables, incarnation, since)
     }
-    note_refutations(table, denied, now)
-    lost = {
+    note_refutations(state, refuted, now)
+    unreachable = {
         incarnation: since
         for incarnation, since in inquiry.since.items()
-        if incarnation not in denied
+        if incarnation not in refuted
     }
     if has_quorum(inquiry):
-        table.unrefuted_at.update(dict.fromkeys(lost, now))
+        state.unrefuted_at.update(dict.fromkeys(unreachable, now))
     if not is_conclusive(tables, inquiry, now):
-        lost = {}
+        unreachable = {}
     fields: dict[str, object] = {
         "asked": len(inquiry.members),
         "replied": len(inquiry.replied),
         "targets": len(inquiry.since),
-        "answered": len(denied),
-        "lost": len(lost),
+        "answered": len(refuted),
+        "lost": len(unreachable),
     }
     actions.append(Log(INQUIRY_ENDED.number, fields))
-    if lost:
-        send_verdict(tables, inquiry, lost, now, actions)
+    if unreachable:
+        send_verdict(tables, inquiry, unreachable, now, actions)
 
 
-def note_refutations(table: InquiryState, denied: set[int], now: float) -> None:
+def note_refutations(state: InquiryState, refuted: set[int], now: float) -> None:
     """Take that targets had answered after all; their reports count no more."""
-    for incarnation in denied:
-        table.witnesses.pop(incarnation, None)
-        table.refuted_at.append(now)
-    while table.refuted_at and now - table.refuted_at[0] > REFUTATION_WINDOW:
-        table.refuted_at.popleft()
+    for incarnation in refuted:
+        state.witnesses.pop(incarnation, None)
+        state.refuted_at.append(now)
+    while state.refuted_at and now - state.refuted_at[0] > REFUTATION_WINDOW:
+        state.refuted_at.popleft()
 
 
 def is_conclusive(tables: Tables, inquiry: OpenInquiry, now: float) -> bool:
     """Whether silence of the hosts shows anything now."""
-    table = tables.inquiry
-    table.unrefuted_at = {
-        incarnation: unheard_at
-        for incarnation, unheard_at in table.unrefuted_at.items()
-        if now - unheard_at <= REFUTATION_WINDOW
+    state = tables.inquiry
+    state.unrefuted_at = {
+        incarnation: unrefuted_at
+        for incarnation, unrefuted_at in state.unrefuted_at.items()
+        if now - unrefuted_at <= REFUTATION_WINDOW
     }
-    denials = len(table.refuted_at)
-    few = denials < MAX_REFUTATIONS or denials <= REFUTED_RATIO * len(
-        table.unrefuted_at
+    refutations = len(state.refuted_at)
+    few_refutations = (
+        refutations < MAX_REFUTATIONS
+        or refutations <= REFUTED_RATIO * len(state.unrefuted_at)
+    )
+    return (
+        has_quorum(inquiry) and few_refutations and not is_lossy(tables.local_path, now)
     )
-    return has_quorum(inquiry) and few and not is_lossy(tables.local_path, now)
 
 
 def send_verdict(
     tables: Tables,
     inquiry: OpenInquiry,
-    lost: dict[int, float],
+    unreachable: dict[int, float],
     now: float,
     actions: list[Action],
 ) -> None:
     """Tell the hosts that were asked, and this one, which targets are lost."""
-    for incarnation in lost:
+    for incarnation in unreachable:
         # To believe it for longer takes newer reports.
         tables.inquiry.witnesses.pop(incarnation, None)
-    suspicions = suspicions_of(lost, now)
+    suspicions = suspicions_of(unreachable, now)
     actions += [Tell(host, Verdict(suspicions)) for host in inquiry.members]
     for suspicion in suspicions:
         apply_verdict(tables, suspicion, now, actions)
--- a/citronspring/tokens/local_path.py
+++ b/citronspring/tokens/local_path.py
@@ -89,7 +89,7 @@
     if since <= path.disturbed_at or is_lossy(path, now):
         return False
 
-    def tells(other: TargetRow) -> bool:
+    def is_control(other: TargetRow) -> bool:
         same_zone = other.target.zone == row.target.zone
         return other is not row and not (whole_zone and same_zone)
 
@@ -97,12 +97,12 @@
     for answer in reversed(path.answers):
         if answer.answered_at < since:
             break
-        answers += answer.sent_at > since and tells(answer.target)
+        answers += answer.sent_at > since and is_control(answer.target)
     if answers < MIN_CONTROL_ANSWERS:
         return False
     losses = sum(
         one.retransmitted_at >= since
-        and tells(one.target)
+        and is_control(one.target)
         and zone_answers(tables, one, since)
         for one in path.retransmissions
     )
--- a/citronspring/tokens/placement.py
+++ b/citronspring/tokens/placement.py
@@ -61,9 +61,9 @@
     if not placeable:
         return None
     usable = prefer_warm(tables, placeable, now)
-    fresh = [row for row in usable if row not in tried] or usable
-    sound = [row for row in fresh if not is_avoided(tables, row, now)] or fresh
-    return min(sound, key=cached_order)
+    untried = [row for row in usable if row not in tried] or usable
+    preferred = [row for row in untried if not is_avoided(tables, row, now)] or untried
+    return min(preferred, key=cached_order)
 
 
 def is_first_choice(tables: Tables, row: TargetRow, now: float) -> bool:
--- a/citronspring/tokens/restore_grace.py
+++ b/citronspring/tokens/restore_grace.py
@@ -36,12 +36,12 @@
 
 def start_restore_grace(tables: Tables, revision: int, now: float) -> None:
     """Give entries that a list lacks their time, once in each epoch of the store."""
-    rewrites = tables.restore_grace
-    if rewrites.epoch == epoch_of(revision):
+    grace = tables.restore_grace
+    if grace.epoch == epoch_of(revision):
         return
-    rewrites.epoch = epoch_of(revision)
-    rewrites.targets_deadline = now + TARGET_REWRITE_GRACE
-    rewrites.operators_deadline = now + OPERATOR_REWRITE_GRACE
+    grace.epoch = epoch_of(revision)
+    grace.targets_deadline = now + TARGET_REWRITE_GRACE
+    grace.operators_deadline = now + OPERATOR_REWRITE_GRACE
 
 
 def services_missing_targets(tables: Tables, revision: int) -> set[str]:
@@ -52,40 +52,44 @@
     must not get flows any more.
     """
     known: Counter[str] = Counter()
-    held: Counter[str] = Counter()
+    present: Counter[str] = Counter()
     for row in tables.targets.values():
         target = row.target
         if row.gone_at == INFINITY and not target.leaving:
             known[target.service] += 1
-            held[target.service] += not is_of_earlier_epoch(target.revision, revision)
+            present[target.service] += not is_of_earlier_epoch(
+                target.revision, revision
+            )
     return {
-        name for name, count in known.items() if held[name] < MIN_PRESENT_RATIO * count
+        name
+        for name, count in known.items()
+        if present[name] < MIN_PRESENT_RATIO * count
     }
 
 
 def expired_entries(tables: Tables, now: float) -> list[TargetRemoved | ZoneDrain]:
     """Return the ends of what has not been written again in time."""
-    rewrites, revision = tables.restore_grace, tables.reader.revision
-    ends: list[TargetRemoved | ZoneDrain] = []
-    if now >= rewrites.targets_deadline:
-        rewrites.targets_deadline = INFINITY
-        ends += [
+    grace, revision = tables.restore_grace, tables.reader.revision
+    removals: list[TargetRemoved | ZoneDrain] = []
+    if now >= grace.targets_deadline:
+        grace.targets_deadline = INFINITY
+        removals += [
             TargetRemoved(row.target.target_id, revision)
             for row in tables.targets.values()
             if row.gone_at == INFINITY
             and is_of_earlier_epoch(row.target.revision, revision)
         ]
-    if now >= rewrites.operators_deadline:
-        rewrites.operators_deadline = INFINITY
-        ends += [
+    if now >= grace.operators_deadline:
+        grace.operators_deadline = INFINITY
+        removals += [
             ZoneDrain(zone, revision, ended=True)
             for zone in tables.drained_zones
             if is_of_earlier_epoch(tables.zone_drains[zone].revision, revision)
         ]
-    return ends
+    return removals
 
 
 def expire_missing_entries(tables: Tables, now: float, actions: list[Action]) -> None:
     """Take what nobody has written again in time for gone."""
-    for end in expired_entries(tables, now):
-        apply_change(tables, end, now, actions)
+    for removal in expired_entries(tables, now):
+        apply_change(tables, removal, now, actions)
--- a/citronspring/tokens/rows.py
+++ b/citronspring/tokens/rows.py
@@ -36,7 +36,7 @@
     #: When a caller last showed that the target had answered.
     answered_at: float = -INFINITY
     #: When the first of those that it left unanswered since went out.
-    silent_since: float = INFINITY
+    unanswered_since: float = INFINITY
     #: Openings and requests it left unanswered since it last answered.
     timeouts: int = 0
     #: Flows that sent a request again in vain since; and when one last did.
@@ -52,8 +52,8 @@
     known_at: float = -INFINITY
     #: Time until which no host of the zone is believed to reach it, and since when
     #: none has heard of it.
-    lost_until: float = -INFINITY
-    lost_since: float = INFINITY
+    unreachable_until: float = -INFINITY
+    unreachable_since: float = INFINITY
 
 
 @record
--- a/citronspring/tokens/store_reader.py
+++ b/citronspring/tokens/store_reader.py
@@ -109,10 +109,10 @@
     """
     age = now - tables.reader.current_at
     if is_zone_reader(tables):
-        longest, left = times.zone_reader_wait, times.follow_wait - age
+        longest, remaining = times.zone_reader_wait, times.follow_wait - age
     else:
-        longest, left = times.wait, times.current - CURRENT_MARGIN - age
-    return min(longest, max(left, 0.0))
+        longest, remaining = times.wait, times.current - CURRENT_MARGIN - age
+    return min(longest, max(remaining, 0.0))
 
 
 def answer_deadline(tables: Tables, call: StoreCall, now: float) -> float:
@@ -120,9 +120,9 @@
     if isinstance(call, FollowReader):
         return now + call.wait + FOLLOW_SLACK
     doublings = min(tables.reader.failures, MAX_DOUBLINGS)
-    slack = min(ANSWER_TIMEOUT * 2.0**doublings, MAX_ANSWER_TIMEOUT)
+    timeout = min(ANSWER_TIMEOUT * 2.0**doublings, MAX_ANSWER_TIMEOUT)
     wait = call.wait if isinstance(call, WatchEntries) else 0.0
-    return now + wait + slack
+    return now + wait + timeout
 
 
 def largest_answer(times: ReaderTimes, call: StoreCall) -> float:
@@ -292,7 +292,7 @@
 
 def apply_snapshot(
     tables: Tables,
-    copy: PeerSnapshot,
+    snapshot: PeerSnapshot,
     sent_at: float,
     now: float,
     actions: list[Action],
@@ -303,24 +303,24 @@
     current.
     """
     reader = tables.reader
-    entries: list[Entry] = [copy.configuration, *copy.entries]
-    if copy.complete:
-        apply_list(tables, entries, copy.revision, now, actions)
+    entries: list[Entry] = [snapshot.configuration, *snapshot.entries]
+    if snapshot.complete:
+        apply_list(tables, entries, snapshot.revision, now, actions)
     else:
         # What is missing may just have been left out.
         for entry in entries:
             apply_change(tables, entry, now, actions)
     restart_list(tables)
     # A watch tells of changes only: what a peer has left out is to be listed.
-    reader.listed = copy.complete
-    reader.revision = max(reader.revision, copy.revision)
+    reader.listed = snapshot.complete
+    reader.revision = max(reader.revision, snapshot.revision)
     start_change_log(tables)
-    reader.current_at = max(reader.current_at, sent_at - copy.age)
+    reader.current_at = max(reader.current_at, sent_at - snapshot.age)
     reader.call_at = now
     fields: dict[str, object] = {
-        "configuration": copy.configuration.revision,
-        "entries": len(copy.entries),
-        "age": round(copy.age, 3),
+        "configuration": snapshot.configuration.revision,
+        "entries": len(snapshot.entries),
+        "age": round(snapshot.age, 3),
     }
     actions.append(Log(COPY_TAKEN.number, fields))
 
--- a/tests/test_tokens/driver.py
+++ b/tests/test_tokens/driver.py
@@ -20,19 +20,19 @@
 from citronspring.tokens.times import ReaderTimes
 
 ADDRESS = 0xC6120001
-STREAMS = route_key(ADDRESS, 443)
+PREVIEWS = route_key(ADDRESS, 443)
 ORDERS = route_key(ADDRESS, 8443)
-OTHERS = route_key(ADDRESS, 80)
+CONTROL_ROUTE = route_key(ADDRESS, 80)
 
 #: Number of a target of another service, which answers whatever happens.
-WITNESS = 0x99
+CONTROL_TARGET = 0x99
 
 #: Seconds within which a change must be in force, and those after a trouble.
 BOUND = 3.0
 SETTLING = 4.0
 
 
-def make_route(key=STREAMS, service="previews", *, idempotent=True):
+def make_route(key=PREVIEWS, service="previews", *, idempotent=True):
     return Route(f"route-{key & 0xFFFF}", key, (Share(service, 1.0),), idempotent)
 
 
@@ -66,7 +66,7 @@
         self.now = now
         self.logs = []
         self.revision = 1
-        self.proofs = 0
+        self.control_count = 0
         self.list_store(configuration or make_configuration(), *targets)
 
     @property
@@ -89,7 +89,7 @@
         """Give the core the answer to its call."""
         sent_at = self.now if sent_at is None else sent_at
         actions = self.core.handle_store_answer(self.call, answer, sent_at, self.now)
-        return self.keep(actions)
+        return self.collect_logs(actions)
 
     def change(self, *changes):
         """Have a watch bring changes."""
@@ -100,11 +100,11 @@
         """Have a target's entry go from the store."""
         self.change(TargetRemoved(f"i-{number:x}", self.revision + 1))
 
-    def lose_store(self):
+    def fail_call(self):
         """Have the call under way come to nothing."""
         return self.answer(Unanswered("no answer in time"))
 
-    def keep(self, actions):
+    def collect_logs(self, actions):
         """Put log events aside and return the other actions."""
         self.logs += [action for action in actions if isinstance(action, Log)]
         return [action for action in actions if not isinstance(action, Log)]
@@ -118,32 +118,32 @@
             if due > until:
                 break
             self.now = due
-            actions += self.keep(self.core.tick(due))
+            actions += self.collect_logs(self.core.tick(due))
         self.now = until
         return actions
 
     def receive(self, packet):
         """Give the core a packet and return its only action."""
-        (action,) = self.keep(self.core.receive(packet, self.now))
+        (action,) = self.collect_logs(self.core.receive(packet, self.now))
         return action
 
-    def prove_path(self):
+    def answer_control_openings(self):
         """Have targets of another service answer two openings that go out now.
 
         Nothing else shows that the silence of a target is not the host's own doing.
         """
-        if OTHERS not in self.tables.routes:
-            routes = (*self.tables.routes.values(), make_route(OTHERS, "others"))
+        if CONTROL_ROUTE not in self.tables.routes:
+            routes = (*self.tables.routes.values(), make_route(CONTROL_ROUTE, "others"))
             revision = self.tables.configuration + 1
             self.change(make_configuration(revision, routes))
-            self.change(make_target(WITNESS, service="others"))
+            self.change(make_target(CONTROL_TARGET, service="others"))
         sent_at = self.now + 0.001
         self.now = sent_at
         for _ in range(2):
-            self.proofs += 1
-            self.caller(0x8000 + self.proofs, OTHERS).connect()
+            self.control_count += 1
+            self.caller(0x8000 + self.control_count, CONTROL_ROUTE).connect()
 
-    def caller(self, port, route=STREAMS):
+    def caller(self, port, route=PREVIEWS):
         """Return a caller's end of a flow."""
         return Caller(self, port, route)
 
@@ -172,27 +172,27 @@
         """Open the flow at the target that the host chose; return its row."""
         action = self.open()
         assert isinstance(action, Forward), action
-        self.handle_store_answer(action.target)
+        self.finish_handshake(action.target)
         return action.target
 
-    def handle_store_answer(self, row):
+    def finish_handshake(self, row):
         """Take a target's answer to the opening and confirm it."""
         self.token = token_of(row.target.incarnation)
         self.seq += 1
         self.ack = 5001
         return self.send(ACK)
 
-    def ask(self, length=100):
+    def send_request(self, length=100):
         """Send a request."""
         action = self.send(ACK, length)
         self.seq += length
         return action
 
-    def ask_again(self, length=100):
+    def retransmit(self, length=100):
         """Send the last request again."""
         return self.send(ACK, length, seq=self.seq - length)
 
-    def take_response(self, length=900):
+    def acknowledge_answer(self, length=900):
         """Acknowledge an answer of the target."""
         self.ack += length
         return self.send(ACK)
--- a/tests/test_tokens/test_admission.py
+++ b/tests/test_tokens/test_admission.py
@@ -18,7 +18,7 @@
 from citronspring.tokens.rows import AnswerRow, ServiceRow
 from tests.test_tokens.driver import (
     ORDERS,
-    STREAMS,
+    PREVIEWS,
     Driver,
     make_configuration,
     make_target,
@@ -35,30 +35,30 @@
 
 def loaded_driver(delay, *, objective=OBJECTIVE):
     """Return a host whose targets take so long for each request."""
-    previews = make_route(STREAMS, priority=2, objective=objective)
+    previews = make_route(PREVIEWS, priority=2, objective=objective)
     orders = make_route(ORDERS, priority=1, objective=objective, idempotent=False)
     configuration = make_configuration(1, (previews, orders))
     driver = Driver(make_target(1), make_target(2), configuration=configuration)
     caller = driver.caller(1)
     caller.connect()
     for _ in range(30):
-        caller.ask()
+        caller.send_request()
         driver.now += delay
-        caller.take_response()
+        caller.acknowledge_answer()
     return driver
 
 
-def refused(driver, route=STREAMS, count=200):
+def refused(driver, route=PREVIEWS, count=200):
     """Return how many of some openings are refused."""
     actions = [driver.caller(port, route).open() for port in range(100, 100 + count)]
     return sum(isinstance(action, ResetCaller) for action in actions)
 
 
-def test_nobody_is_refused_while_answers_come_in_time():
+def test_no_flow_is_refused_while_answers_are_in_time():
     assert refused(loaded_driver(0.04)) == 0
 
 
-def test_all_are_refused_when_their_requests_would_be_late():
+def test_all_flows_are_refused_when_requests_would_be_late():
     """Every request waits through full queues and is late.
 
     A caller that is refused at once can try elsewhere, or tell its user; let in, it
@@ -79,9 +79,9 @@
     assert 0 < share[0] < share[1] < share[2] < 200
 
 
-def test_what_is_urgent_is_let_in_first():
+def test_urgent_flows_are_admitted_first():
     driver = loaded_driver(0.085)
-    assert refused(driver, STREAMS) == 200
+    assert refused(driver, PREVIEWS) == 200
     assert refused(driver, ORDERS) == 0
 
 
@@ -89,7 +89,7 @@
     assert refused(loaded_driver(2.0, objective=math.inf)) == 0
 
 
-def test_after_a_silence_flows_are_let_in_to_find_out():
+def test_flows_are_admitted_after_the_median_expires():
     """All openings were refused, and no flow is left to tell that the load has gone."""
     driver = loaded_driver(0.14)
     assert refused(driver) == 200
@@ -97,25 +97,25 @@
     assert refused(driver) == 0
 
 
-def test_copy_of_an_opening_is_never_refused():
+def test_retransmitted_opening_is_never_refused():
     """Another host has placed the opening, and left the routers' rotation since.
 
     The target may have answered, and its answer be on the way. A refusal would end an
     attempt that is about to be served.
     """
     driver = loaded_driver(0.14)
-    copy = Packet(b"flow", STREAMS, SYN, 0, 77, 1, 0)
-    assert isinstance(driver.receive(copy), Forward)
+    retransmission = Packet(b"flow", PREVIEWS, SYN, 0, 77, 1, 0)
+    assert isinstance(driver.receive(retransmission), Forward)
 
 
 def test_open_flow_goes_on_under_any_load():
     driver = loaded_driver(0.14)
     caller = driver.caller(1)
     caller.token = 1
-    assert isinstance(caller.ask(), Forward)
+    assert isinstance(caller.send_request(), Forward)
 
 
-def test_few_long_requests_refuse_nobody():
+def test_few_long_requests_cause_no_refusal():
     """A host of a large fleet sees an upload or two of a service a second.
 
     One over a slow link takes half of the objective. Taken for the median, it would
@@ -125,15 +125,15 @@
     driver = Driver(
         make_target(1),
         configuration=make_configuration(
-            1, (make_route(STREAMS, priority=2, objective=objective),)
+            1, (make_route(PREVIEWS, priority=2, objective=objective),)
         ),
     )
     caller = driver.caller(1)
     caller.connect()
     for _ in range(3):
-        caller.ask()
+        caller.send_request()
         driver.now += 0.9
-        caller.take_response()
+        caller.acknowledge_answer()
         assert refused(driver, count=20) == 0
 
 
@@ -153,25 +153,25 @@
     assert service.median_delay > 0.09
 
 
-def test_share_of_a_route_stays_between_none_and_all():
-    route = make_route(STREAMS, priority=2)
+def test_shed_fraction_stays_between_none_and_all():
+    route = make_route(PREVIEWS, priority=2)
     assert shed_fraction(0.0, route, 2) == 0.0
     assert shed_fraction(9.0, route, 2) == 1.0
 
 
-def test_objective_and_priority_are_handed_on():
+def test_objective_and_priority_are_encoded():
     for objective in (OBJECTIVE, math.inf):
-        route = make_route(STREAMS, priority=1, objective=objective)
+        route = make_route(PREVIEWS, priority=1, objective=objective)
         assert decode_route(encode_route(route)) == route
 
 
-def test_copy_of_an_older_release_refuses_nobody():
-    plain = encode_route(make_route(STREAMS, priority=1))
+def test_route_of_an_older_release_has_no_objective():
+    plain = encode_route(make_route(PREVIEWS, priority=1))
     del plain["objective"], plain["priority"]
     assert decode_route(plain).objective == math.inf
 
 
-def test_word_of_a_full_target_is_no_answer():
+def test_refusal_by_an_overloaded_target_is_no_answer():
     """Targets are full, and most of what they send says so after a tenth of a second.
 
     Answers take a third of a second. With both counted alike the median is below what
@@ -187,7 +187,7 @@
     assert service.median_delay >= 0.25
 
 
-def test_answers_that_have_become_smaller_are_answers_again():
+def test_smaller_answers_count_after_a_while():
     """A release answers with a quarter of the bytes."""
     row = AnswerRow()
     for number in range(50):
@@ -197,7 +197,7 @@
     assert all(taken[100:])
 
 
-def test_small_answers_of_a_route_are_answers():
+def test_small_answers_of_a_route_count():
     row = AnswerRow()
     assert all(
         note_answer_size(row, 200 + number % 40, float(number)) for number in range(50)
--- a/tests/test_tokens/test_change_feed.py
+++ b/tests/test_tokens/test_change_feed.py
@@ -28,7 +28,7 @@
 )
 from citronspring.tokens.store_reader import TIMER_MARGIN
 from tests.test_tokens.driver import (
-    STREAMS,
+    PREVIEWS,
     Driver,
     make_configuration,
     make_route,
@@ -36,47 +36,47 @@
 )
 from tests.test_tokens.zone import (
     TIMES,
-    ask,
     decode_answer,
-    leader,
+    make_zone_reader,
     next_call,
+    poll_reader,
 )
 
 
 def test_reader_watches_the_store_with_shorter_waits():
-    assert next_call(leader()) == WatchEntries(2, TIMES.zone_reader_wait)
+    assert next_call(make_zone_reader()) == WatchEntries(2, TIMES.zone_reader_wait)
     assert TIMES.zone_reader_wait < TIMES.wait
 
 
-def test_followers_get_what_is_newer_than_theirs():
-    driver = leader()
+def test_followers_get_changes_above_their_revision():
+    driver = make_zone_reader()
     driver.change(make_target(2, revision=3))
     driver.remove(1)
     driver.change(make_configuration(4))
-    everything = ask(driver, after=2)
+    everything = poll_reader(driver, after=2)
     assert [type(change).__name__ for change in everything.changes] == [
         "Target",
         "TargetRemoved",
         "ConfigurationChange",
     ]
     assert everything.revision == 5
-    assert len(ask(driver, after=4).changes) == 1
-    assert ask(driver, after=5).changes == ()
+    assert len(poll_reader(driver, after=4).changes) == 1
+    assert poll_reader(driver, after=5).changes == ()
 
 
-def leaving_in(news):
+def draining_in(feed):
     """Return the targets that a reader's answer says are leaving."""
-    targets = [change for change in news.changes if isinstance(change, Target)]
+    targets = [change for change in feed.changes if isinstance(change, Target)]
     return {target.target_id for target in targets if target.leaving}
 
 
-def test_entry_newer_than_the_page_before_it_is_handed_on():
+def test_entry_newer_than_the_first_page_is_served():
     """A target says that it leaves while the zone's reader reads the store in pages.
 
     A follower that has read up to the first page hears nothing of it: the reader's
     watch brings it again, and it is no news there any more.
     """
-    driver = leader(make_target(1), make_target(2))
+    driver = make_zone_reader(make_target(1), make_target(2))
     next_call(driver)
     driver.answer(HistoryLost())
     next_call(driver)
@@ -84,73 +84,73 @@
     next_call(driver)
     leaving = make_target(2, leaving=True, revision=21)
     driver.answer(Page((leaving,), 21, None))
-    assert leaving_in(ask(driver, after=20)) == {"i-2"}
+    assert draining_in(poll_reader(driver, after=20)) == {"i-2"}
     next_call(driver)
     driver.answer(Changes((leaving,), 21))
-    assert leaving_in(ask(driver, after=20)) == {"i-2"}
-    assert ask(driver, after=21).changes == ()
+    assert draining_in(poll_reader(driver, after=20)) == {"i-2"}
+    assert poll_reader(driver, after=21).changes == ()
 
 
-def test_follower_that_knows_what_a_list_of_its_reader_skipped_reads_the_store():
+def test_follower_within_a_skipped_range_reads_the_store():
     """A target registers and goes while the zone's reader has lost history.
 
     A follower read the store in between, by itself. The list of its reader, which never
     knew the target, tells nothing of it, and the follower would use it for good.
     """
-    driver = leader(make_target(1))
+    driver = make_zone_reader(make_target(1))
     for _ in range(2):
         next_call(driver)
         driver.answer(HistoryLost())
         driver.list_store(make_configuration(), make_target(1), revision=20)
-    assert isinstance(ask(driver, after=2), FeedAnswer)
-    assert isinstance(ask(driver, after=10), HistoryLost)
-    assert isinstance(ask(driver, after=20), FeedAnswer)
+    assert isinstance(poll_reader(driver, after=2), FeedAnswer)
+    assert isinstance(poll_reader(driver, after=10), HistoryLost)
+    assert isinstance(poll_reader(driver, after=20), FeedAnswer)
 
 
-def test_change_of_the_reader_itself_is_handed_on():
+def test_change_of_the_zone_reader_is_served():
     """A reader loses its registration and goes on; another host is registered.
 
     Its followers read on from its revision, past the news of the other host. Not
     told of it, they would never follow anybody once this reader is gone.
     """
-    driver = leader()
+    driver = make_zone_reader()
     other = ZoneReader("north", "host-7", Endpoint("10.1.0.7", 8166), 4)
     driver.change(ReaderRemoved("north", 3), other)
-    removed, named = ask(driver, after=2).changes
+    removed, named = poll_reader(driver, after=2).changes
     assert (removed.zone, named.host_id) == ("north", "host-7")
     assert named.endpoint == other.endpoint
 
 
-def test_follower_waits_for_news_or_a_confirmation():
-    driver = leader()
+def test_poll_waits_for_changes_or_a_confirmation():
+    driver = make_zone_reader()
     poll = FeedPoll(2, driver.now, driver.now + 2.0)
     assert driver.core.answer_poll(poll, driver.now) is None
     next_call(driver)
     driver.now += TIMES.zone_reader_wait
     driver.answer(Changes((), None), sent_at=driver.now - TIMES.zone_reader_wait)
-    news = decode_answer(driver.core.answer_poll(poll, driver.now))
-    assert news.changes == ()
-    assert news.age == pytest.approx(TIMER_MARGIN)
-    assert news.held == pytest.approx(driver.now - poll.asked_at)
+    feed = decode_answer(driver.core.answer_poll(poll, driver.now))
+    assert feed.changes == ()
+    assert feed.age == pytest.approx(TIMER_MARGIN)
+    assert feed.held == pytest.approx(driver.now - poll.asked_at)
 
 
-def test_follower_is_answered_when_its_time_is_up():
-    driver = leader()
+def test_poll_is_answered_at_its_deadline():
+    driver = make_zone_reader()
     poll = FeedPoll(2, driver.now, driver.now + 0.4)
     assert driver.core.answer_poll(poll, driver.now + 0.3) is None
-    news = decode_answer(driver.core.answer_poll(poll, driver.now + 0.4))
-    assert news.age == pytest.approx(0.4)
+    feed = decode_answer(driver.core.answer_poll(poll, driver.now + 0.4))
+    assert feed.age == pytest.approx(0.4)
 
 
-def test_reader_that_cannot_vouch_says_so_at_once():
-    driver = leader()
+def test_zone_reader_that_is_not_current_refuses_at_once():
+    driver = make_zone_reader()
     poll = FeedPoll(2, driver.now, driver.now + 60.0)
     late = driver.now + TIMES.follow_age + 0.01
     assert driver.core.answer_poll(poll, late)[0] == 503
     next_call(driver)
-    driver.lose_store()
+    driver.fail_call()
     assert driver.core.answer_poll(poll, driver.now)[0] == 503
-    leaving = leader()
+    leaving = make_zone_reader()
     leaving.core.leave(leaving.now + 5.0, leaving.now)
     assert leaving.core.answer_poll(poll, leaving.now)[0] == 503
 
@@ -160,53 +160,53 @@
 
     Given only the newer ones, it would never hear of a removed target.
     """
-    driver = leader()
-    assert isinstance(ask(driver, after=0), HistoryLost)
+    driver = make_zone_reader()
+    assert isinstance(poll_reader(driver, after=0), HistoryLost)
     for number in range(MAX_LOGGED_CHANGES + 1):
         driver.change(make_target(5, revision=10 + number))
-    assert isinstance(ask(driver, after=2), HistoryLost)
-    assert isinstance(ask(driver, after=driver.revision - 1), FeedAnswer)
+    assert isinstance(poll_reader(driver, after=2), HistoryLost)
+    assert isinstance(poll_reader(driver, after=driver.revision - 1), FeedAnswer)
 
 
-def test_what_a_second_list_brings_is_handed_on():
+def test_changes_of_a_second_list_are_served():
     """The store forgets its history while watches hear nothing; a target has gone.
 
     The reader finds that out from a list. Its followers, at the same revision as the
     reader was, have missed it as well.
     """
-    driver = leader(make_target(1), make_target(2))
+    driver = make_zone_reader(make_target(1), make_target(2))
     driver.answer(HistoryLost())
     named = driver.tables.zone_readers["north"]
     driver.list_store(make_configuration(), make_target(2), named, revision=9)
-    (removed,) = ask(driver, after=2).changes
+    (removed,) = poll_reader(driver, after=2).changes
     assert isinstance(removed, TargetRemoved)
     assert removed.target_id == "i-1"
 
 
-def test_news_come_through_whole():
-    driver = leader()
+def test_changes_are_decoded_completely():
+    driver = make_zone_reader()
     driver.change(make_target(3, "south", warmup=1.5, revision=3))
-    (target,) = ask(driver, after=2).changes
+    (target,) = poll_reader(driver, after=2).changes
     assert (target.target_id, target.zone, target.warmup) == ("i-3", "south", 1.5)
     assert target.endpoint == make_target(3).endpoint
 
 
 @pytest.mark.parametrize("name", ["revision", "age", "held", "changes"])
-def test_news_of_another_shape_are_no_answer(name):
-    driver = leader()
+def test_answer_of_another_shape_counts_as_unanswered(name):
+    driver = make_zone_reader()
     poll = FeedPoll(2, driver.now, driver.now)
     _, body = answer_poll(driver.tables, TIMES, poll, driver.now)
     broken = {**json.loads(body), name: "x"}
     assert isinstance(decode_feed(200, json.dumps(broken).encode()), Unanswered)
 
 
-def test_quiet_watch_confirms_the_time_that_it_waited():
+def test_watch_without_changes_confirms_its_wait():
     """A watch without news shows that nothing changed while it waited.
 
     Taken for its beginning only, a host would call its knowledge old by a whole
     watch at the moment at which it was confirmed.
     """
-    driver = leader()
+    driver = make_zone_reader()
     next_call(driver)
     sent_at = driver.now
     driver.now += TIMES.zone_reader_wait + 0.004
@@ -215,13 +215,13 @@
     assert driver.tables.reader.current_at == pytest.approx(sent_at + waited)
 
 
-def test_quiet_watch_that_ends_a_little_early_has_waited():
+def test_watch_that_ends_slightly_early_confirms_its_wait():
     """The store's timer runs ahead of the host's by a millisecond.
 
     Taken for an early end, the host would call its knowledge a whole watch older,
     and all that follow it would turn to the store.
     """
-    driver = leader()
+    driver = make_zone_reader()
     next_call(driver)
     sent_at = driver.now
     driver.now += TIMES.zone_reader_wait - 0.001
@@ -229,8 +229,8 @@
     assert driver.tables.reader.current_at > sent_at + TIMES.zone_reader_wait - 0.1
 
 
-def test_quiet_watch_that_ends_early_confirms_only_its_beginning():
-    driver = leader()
+def test_watch_that_ends_early_confirms_only_its_start():
+    driver = make_zone_reader()
     next_call(driver)
     sent_at = driver.now
     driver.now += TIMES.zone_reader_wait / 2
@@ -244,43 +244,43 @@
     Handed on whole it kept the reader's link of 5 Mbit/s full for a second: callers'
     packets were lost, and flows broke.
     """
-    routes = [make_route(STREAMS + number) for number in range(240)]
+    routes = [make_route(PREVIEWS + number) for number in range(240)]
     driver = Driver(make_target(1), configuration=make_configuration(3, routes))
     driver.change(ZoneReader("north", "host-1", Endpoint("10.1.0.9", 8166), 2))
-    routes[7] = make_route(STREAMS + 7, idempotent=False)
+    routes[7] = make_route(PREVIEWS + 7, idempotent=False)
     driver.change(make_configuration(5, routes[:-1]))
     poll = FeedPoll(2, driver.now, driver.now)
     _, body = driver.core.answer_poll(poll, driver.now)
     assert len(body) < 500
     (change,) = decode_feed(200, body).changes
     assert (change.base, change.revision) == (3, 5)
-    assert [route.key for route in change.routes] == [STREAMS + 7]
-    assert change.removed == (STREAMS + 239,)
+    assert [route.key for route in change.routes] == [PREVIEWS + 7]
+    assert change.removed == (PREVIEWS + 239,)
 
 
-def test_followers_take_no_more_than_a_share_of_the_link():
+def test_followers_use_only_a_share_of_the_link():
     """A configuration grows by 1,400 routes, and a whole zone waits for it.
 
     The first followers get it. When the reader's share of its link is used up, the
     others are sent to the store, and callers' packets keep their room.
     """
-    driver = leader()
+    driver = make_zone_reader()
     driver.tables.change_log.rate = 50_000.0
     draw = Random(1)
     routes = [make_named_route(draw, number) for number in range(1400)]
     driver.change(make_configuration(5, routes))
-    answers = [ask(driver, after=2) for _ in range(10)]
+    answers = [poll_reader(driver, after=2) for _ in range(10)]
     served = [one for one in answers if isinstance(one, FeedAnswer)]
     assert 0 < len(served) < 5
     assert isinstance(answers[-1], HistoryLost)
     driver.now += 1.0
-    assert isinstance(ask(driver, after=2), FeedAnswer)
+    assert isinstance(poll_reader(driver, after=2), FeedAnswer)
 
 
 class CountedLog(deque):
     """A log of changes that counts how many are looked at."""
 
-    looked_at = 0
+    examined = 0
 
     def __iter__(self):
         return self.counted(super().__iter__())
@@ -290,17 +290,17 @@
 
     def counted(self, entries):
         for entry in entries:
-            self.looked_at += 1
+            self.examined += 1
             yield entry
 
 
-def test_waiting_followers_cost_no_look_through_the_log():
+def test_waiting_polls_do_not_scan_the_log():
     """Fourteen hosts wait for news while a reader forwards its callers' packets.
 
     Asked about at each turn of the process, they must not cost it a look at each of
     a thousand changes: a reader spent a fifth of a core on that.
     """
-    driver = leader()
+    driver = make_zone_reader()
     for number in range(500):
         driver.change(make_target(5, revision=10 + number))
     driver.tables.change_log.changes = log = CountedLog(
@@ -310,7 +310,7 @@
     for _ in range(14):
         poll = FeedPoll(newest, driver.now, driver.now + 2.0)
         assert driver.core.answer_poll(poll, driver.now) is None
-    assert log.looked_at <= 14
+    assert log.examined <= 14
 
 
 def test_zone_of_25_hosts_gets_1400_routes_from_its_reader_within_a_second():
@@ -321,36 +321,36 @@
     each, for which links of 5 Mbit/s take over a second: 68 of 77 followers logged
     626 "too far behind it".
     """
-    driver = leader()
+    driver = make_zone_reader()
     driver.tables.change_log.rate = 625_000.0
     draw = Random(1)
     routes = [make_named_route(draw, number) for number in range(1400)]
     driver.change(make_configuration(5, routes))
     served = []
     for _ in range(2):
-        answers = [ask(driver, after=2) for _ in range(25 - len(served))]
+        answers = [poll_reader(driver, after=2) for _ in range(25 - len(served))]
         served += [one for one in answers if isinstance(one, FeedAnswer)]
         driver.now += 0.5
     assert len(served) == 25
-    for news in served:
-        (change,) = news.changes
+    for feed in served:
+        (change,) = feed.changes
         assert change.routes[-1400:] == tuple(routes)
 
 
 def make_named_route(draw, number):
     """Return a route with a drawn name, as operators' names differ."""
     name = "r-" + "".join(draw.choices("abcdefghijklmnopqrstuvwxyz0123456789", k=7))
-    return Route(name, STREAMS + number, (Share("previews", 1.0),), True, 0.327, 2)
+    return Route(name, PREVIEWS + number, (Share("previews", 1.0),), True, 0.327, 2)
 
 
-def test_difference_is_written_once_for_all_followers(monkeypatch):
+def test_difference_is_encoded_once_for_all_followers(monkeypatch):
     """Twenty-five hosts wait for 1,400 routes, and their reader is a small host.
 
     Written anew for each of them, 2 ms of processor each time, it would hold up
     callers' packets for a third of a second on a sixth of a core.
     """
-    driver = leader()
-    routes = [make_route(STREAMS + number) for number in range(1400)]
+    driver = make_zone_reader()
+    routes = [make_route(PREVIEWS + number) for number in range(1400)]
     driver.change(make_configuration(5, routes))
     written = []
     plain = change_feed_module.encode_change
@@ -360,15 +360,15 @@
         lambda one: written.append(one) or plain(one),
     )
     for _ in range(25):
-        assert len(ask(driver, after=2).changes) == 1
+        assert len(poll_reader(driver, after=2).changes) == 1
     assert len(written) == 1
 
 
 @pytest.mark.parametrize("size", [1, 10, 100])
-def test_damaged_news_are_no_answer(size):
+def test_corrupted_answer_counts_as_unanswered(size):
     """A compressed answer arrives cut, or is none; the follower reads the store."""
-    driver = leader()
-    routes = [make_route(STREAMS + number) for number in range(200)]
+    driver = make_zone_reader()
+    routes = [make_route(PREVIEWS + number) for number in range(200)]
     driver.change(make_configuration(5, routes))
     poll = FeedPoll(2, driver.now, driver.now)
     _, body = driver.core.answer_poll(poll, driver.now)
@@ -378,7 +378,7 @@
 
 
 @pytest.mark.parametrize("waited", [0.0, 0.4, 0.9, 1.4])
-def test_change_late_in_a_watch_costs_the_reader_no_follower(waited):
+def test_change_late_in_a_watch_loses_no_follower(waited):
     """Operators change a route every three seconds, and a reader loses its zone.
 
     A watch that brings news vouches only for the moment at which it was sent. The
@@ -386,14 +386,14 @@
     old to be followed: all 77 followers of three zones got status 503 at each of five
     changes (626, 640 "not current"), and read a configuration of 1 MB from the store.
     """
-    driver = leader()
+    driver = make_zone_reader()
     for number in range(5):
         next_call(driver)
         sent_at = driver.now
         driver.now += waited
         driver.revision += 1
-        news = make_target(7, revision=10 + number)
-        driver.answer(Changes((news,), driver.revision), sent_at=sent_at)
+        change = make_target(7, revision=10 + number)
+        driver.answer(Changes((change,), driver.revision), sent_at=sent_at)
         for _ in range(3):
             call = next_call(driver)
             sent_at = driver.now
--- a/tests/test_tokens/test_drains.py
+++ b/tests/test_tokens/test_drains.py
@@ -32,8 +32,13 @@
     reason_of,
     target_of,
 )
-from tests.test_tokens.test_peer_snapshot import snapshot_of, started
-from tests.test_tokens.zone import ask, follower, leader, next_call
+from tests.test_tokens.test_peer_snapshot import restarted_host, snapshot_of
+from tests.test_tokens.zone import (
+    make_follower,
+    make_zone_reader,
+    next_call,
+    poll_reader,
+)
 
 
 def drain(driver, zone="north"):
@@ -86,10 +91,10 @@
     caller = driver.caller(1)
     row = caller.connect()
     drain(driver, row.target.zone)
-    assert isinstance(caller.ask(), Forward)
-    assert isinstance(caller.take_response(), Forward)
+    assert isinstance(caller.send_request(), Forward)
+    assert isinstance(caller.acknowledge_answer(), Forward)
     driver.wait(3.0)
-    assert isinstance(caller.ask(), Forward)
+    assert isinstance(caller.send_request(), Forward)
     assert isinstance(caller.close(), Forward)
 
 
@@ -99,10 +104,10 @@
     drain(driver)
     caller = driver.caller(1)
     caller.token = 1
-    assert target_of(caller.ask()) == "i-1"
+    assert target_of(caller.send_request()) == "i-1"
 
 
-def test_second_try_of_an_opening_goes_elsewhere():
+def test_second_attempt_of_a_opening_goes_elsewhere():
     """The first target has not answered, and its zone is drained meanwhile."""
     driver = Driver(make_target(1), make_target(2), make_target(3, "south"))
     action = driver.caller(1).open()
@@ -112,7 +117,7 @@
     assert {target_of(one) for one in again} == {"i-3"}
 
 
-def test_copy_of_an_opening_goes_elsewhere():
+def test_retransmitted_opening_goes_elsewhere():
     """The caller sends its opening again, just after its target's zone was drained."""
     driver = Driver(make_target(1), make_target(3, "south"))
     caller = driver.caller(1)
@@ -121,7 +126,7 @@
     assert target_of(caller.open()) == "i-3"
 
 
-def test_copy_of_the_opening_of_an_open_flow_is_dropped():
+def test_retransmitted_opening_of_an_open_flow_is_dropped():
     """Sent on, it would count as an opening at a target that is to get none."""
     driver = Driver(make_target(1), make_target(3, "south"))
     caller = driver.caller(1)
@@ -135,7 +140,7 @@
     assert action.reason is DropReason.ZONE_DRAINED
 
 
-def test_refuses_at_once_what_only_drained_targets_could_take():
+def test_flow_that_only_drained_targets_could_serve_is_refused():
     """A service has targets in a drained zone only; its callers learn so at once."""
     driver = Driver(make_target(1))
     drain(driver)
@@ -146,13 +151,13 @@
     assert line.fields["service"] == "previews"
 
 
-def test_service_without_targets_is_told_apart():
+def test_service_without_targets_has_its_own_reason():
     driver = Driver(make_target(1, leaving=True))
     drain(driver)
     assert reason_of(driver.caller(1).open()) is ResetReason.NO_TARGET
 
 
-def test_drain_ends_where_a_list_does_not_hold_it():
+def test_drain_ends_when_a_list_lacks_it():
     """The drain ended while history was lost, or the host was cut off."""
     driver = Driver(make_target(1), make_target(2, "south"))
     drain(driver)
@@ -179,7 +184,7 @@
     assert placed(driver, range(6)) == {"i-2"}
 
 
-def test_older_news_bring_no_drain_back_and_end_none():
+def test_older_changes_neither_restore_nor_end_a_drain():
     driver = Driver(make_target(1), make_target(2, "south"))
     driver.change(ZoneDrain("north", 5))
     driver.answer(Changes((ZoneDrain("north", 4, ended=True),), 5))
@@ -189,54 +194,54 @@
     assert "i-1" in placed(driver, range(6, 12))
 
 
-def test_host_that_loses_the_store_goes_on_draining():
+def test_drain_continues_while_the_store_is_unreachable():
     driver = Driver(make_target(1), make_target(2, "south"))
     drain(driver)
     for _ in range(5):
         driver.now = max(driver.now, driver.tables.reader.call_at) + 5.0
-        driver.lose_store()
+        driver.fail_call()
     assert placed(driver, range(6)) == {"i-2"}
 
 
-def test_reader_hands_drains_on():
-    reader = leader(make_target(1), make_target(2, "south"))
+def test_zone_reader_serves_drains():
+    reader = make_zone_reader(make_target(1), make_target(2, "south"))
     after = reader.tables.reader.revision
     drain(reader)
-    driver = follower()
+    driver = make_follower()
     next_call(driver)
-    driver.answer(ask(reader, after))
+    driver.answer(poll_reader(reader, after))
     assert driver.tables.is_drained("north")
     end_drain(reader)
-    driver.answer(ask(reader, reader.revision - 1))
+    driver.answer(poll_reader(reader, reader.revision - 1))
     assert not driver.tables.is_drained("north")
 
 
-def test_news_of_a_reader_that_knows_no_drains_are_not_taken():
+def test_answer_of_a_reader_without_drains_is_refused():
     """A reader of an older release leaves drains out; followers read the store."""
-    reader = leader()
-    status, body = reader.core.answer_poll(ask_poll(reader), reader.now)
+    reader = make_zone_reader()
+    status, body = reader.core.answer_poll(make_poll(reader), reader.now)
     plain = json.loads(body)
     del plain["format"]
     assert isinstance(decode_feed(status, json.dumps(plain).encode()), Unanswered)
     assert isinstance(decode_feed(status, body), FeedAnswer)
 
 
-def ask_poll(driver):
+def make_poll(driver):
     from citronspring.tokens.change_feed import FeedPoll
 
     return FeedPoll(driver.tables.reader.revision, driver.now, driver.now)
 
 
-def test_copies_hold_drains():
+def test_snapshots_contain_drains():
     """All hosts start anew while the store is away; a peer still knows."""
     peer = Driver(make_target(1), make_target(2, "south"))
     drain(peer)
-    driver = started(Driver(make_target(1)))
+    driver = restarted_host(Driver(make_target(1)))
     driver.answer(snapshot_of(peer))
     assert placed(driver, range(6)) == {"i-2"}
 
 
-def test_copy_of_a_host_that_knows_no_drains_is_no_end_of_reading():
+def test_snapshot_without_drains_is_followed_by_a_list():
     """A peer of an older release has given a copy, which says nothing of drains.
 
     The watch that follows would tell of changes only, and the host would place flows
@@ -246,36 +251,36 @@
     status, body = peer.core.snapshot(peer.now)
     plain = json.loads(body)
     del plain["format"], plain["drains"]
-    copy = decode_snapshot(status, json.dumps(plain).encode())
-    assert isinstance(copy, PeerSnapshot)
-    driver = started(Driver(make_target(1)))
-    driver.answer(copy)
+    snapshot = decode_snapshot(status, json.dumps(plain).encode())
+    assert isinstance(snapshot, PeerSnapshot)
+    driver = restarted_host(Driver(make_target(1)))
+    driver.answer(snapshot)
     assert driver.core.ready
     call = next_call(driver)
     assert call == ListEntries()
 
 
-def test_copy_of_a_host_that_knows_no_drains_ends_none():
+def test_snapshot_without_drains_ends_no_drain():
     """The host has heard of a drain, and then of the configuration by such a copy."""
     peer = Driver(make_target(1), make_target(2, "south"))
     peer.change(make_target(3, "south", revision=2))
     status, body = peer.core.snapshot(peer.now)
     plain = json.loads(body)
     del plain["format"], plain["drains"]
-    driver = started(Driver(make_target(1)))
+    driver = restarted_host(Driver(make_target(1)))
     driver.answer(Page((ZoneDrain("north", 1),), 1, None))
     driver.answer(decode_snapshot(status, json.dumps(plain).encode()))
     assert "i-1" not in placed(driver, range(6))
 
 
-def test_host_goes_on_from_a_whole_copy():
+def test_host_watches_after_a_complete_snapshot():
     peer = Driver(make_target(1))
-    driver = started(Driver(make_target(1)))
+    driver = restarted_host(Driver(make_target(1)))
     driver.answer(snapshot_of(peer))
     assert isinstance(next_call(driver), WatchEntries)
 
 
-def test_log_state_and_metrics_tell():
+def test_log_dump_and_metrics_show_drains():
     driver = Driver(make_target(1), make_target(2, "south"))
     drain(driver)
     assert driver.logs[-1].number == ZONE_DRAIN_CHANGED.number
--- a/tests/test_tokens/test_election.py
+++ b/tests/test_tokens/test_election.py
@@ -45,7 +45,7 @@
         now = self.driver.now if now is None else now
         self.core.handle_election_answer(call, answer, now, now)
 
-    def hold_lease(self):
+    def claim_zone(self):
         """Have the host claim its zone with success; return it."""
         assert self.next_call() is None
         self.driver.now += DELAY
@@ -57,13 +57,13 @@
 
     def register(self):
         """Have the host hear that it is the reader; return it."""
-        self.hold_lease()
+        self.claim_zone()
         self.driver.change(ZoneReader("north", "host-1", OWN, 2))
         return self
 
 
 def test_waits_and_claims_a_zone_without_a_reader():
-    candidate = Candidate().hold_lease()
+    candidate = Candidate().claim_zone()
     assert candidate.next_call() is None
 
 
@@ -85,10 +85,10 @@
     assert isinstance(candidate.next_call(), GrantLease)
 
 
-def test_host_without_the_store_claims_nothing():
+def test_host_that_cannot_read_the_store_claims_nothing():
     """It could hand on nothing, and would keep others from it."""
     candidate = Candidate()
-    candidate.driver.lose_store()
+    candidate.driver.fail_call()
     candidate.driver.now += 10 * DELAY
     assert candidate.next_call() is None
 
@@ -103,10 +103,10 @@
     assert 2 * RENEWAL_FRACTION * LEASE_SECONDS + 0.5 < LEASE_SECONDS
 
 
-def test_reader_that_cannot_read_lets_its_lease_end():
+def test_zone_reader_that_cannot_read_lets_its_lease_expire():
     """The store serves its renewals but not its reads; the zone waits for news."""
     candidate = Candidate().register()
-    candidate.driver.lose_store()
+    candidate.driver.fail_call()
     candidate.driver.now += RENEWAL_FRACTION * LEASE_SECONDS
     assert candidate.next_call() is None
 
@@ -127,7 +127,7 @@
     assert isinstance(candidate.next_call(), GrantLease)
 
 
-def test_host_that_was_second_claims_nothing_more():
+def test_host_whose_claim_was_second_claims_no_more():
     candidate = Candidate()
     candidate.next_call()
     candidate.driver.now += DELAY
@@ -145,21 +145,21 @@
     assert candidate.next_call() is None
 
 
-def test_leaving_reader_gives_its_lease_up_once():
+def test_leaving_reader_ends_its_lease_once():
     candidate = Candidate().register()
     candidate.core.leave(candidate.driver.now + 5.0, candidate.driver.now)
     assert candidate.next_call() == EndLease(7)
     assert candidate.next_call() is None
 
 
-def test_leaving_host_without_a_lease_asks_for_nothing():
+def test_leaving_host_without_a_lease_makes_no_call():
     candidate = Candidate()
     candidate.core.leave(candidate.driver.now + 5.0, candidate.driver.now)
     candidate.driver.now += 10 * DELAY
     assert candidate.next_call() is None
 
 
-def test_restarted_reader_does_not_renew_what_it_no_longer_holds():
+def test_restarted_reader_does_not_renew_its_old_lease():
     """A reader is killed and starts again under its name, before its lease ends.
 
     It asks for a lease of its own, and renews none before it is registered under that.
@@ -193,7 +193,7 @@
     assert candidate.core.next_election_deadline() > candidate.driver.now
 
 
-def test_host_never_waits_for_a_call_that_it_does_not_make():
+def test_deadline_is_never_past_without_a_call():
     """A host was second with its claim, or its reader of the store fails.
 
     Its next call was due in the past, and none was made: the process turned without
@@ -204,14 +204,14 @@
     second.driver.now += DELAY
     second.answer(second.next_call(), LeaseGranted(7, LEASE_SECONDS))
     second.driver.change(OTHER)
-    failing.driver.lose_store()
+    failing.driver.fail_call()
     for candidate in (second, failing):
         candidate.driver.now += RENEWAL_FRACTION * LEASE_SECONDS + 0.1
         assert candidate.next_call() is None
         assert candidate.core.next_election_deadline() > candidate.driver.now
 
 
-def test_leaving_reader_is_not_kept_from_giving_its_lease_up():
+def test_leaving_reader_ends_its_lease_immediately():
     candidate = Candidate().register()
     candidate.core.leave(candidate.driver.now + 5.0, candidate.driver.now)
     assert candidate.core.next_election_deadline() <= candidate.driver.now
@@ -222,7 +222,7 @@
 class TestReturn:
     """The reader of a zone is killed and starts again before its lease has ended."""
 
-    def test_takes_its_zone_up_again_at_once(self):
+    def test_claims_its_zone_again_at_once(self):
         """All hosts of its zone read the store, twice each, for want of a reader.
 
         All hosts lost power for a second. Each read the list, and found the zone's
@@ -242,7 +242,7 @@
         candidate.driver.now += RENEWAL_FRACTION * LEASE_SECONDS
         assert candidate.next_call() == RenewLease(8)
 
-    def test_leaves_the_zone_to_another_who_came_first(self):
+    def test_leaves_the_zone_to_a_host_that_was_first(self):
         candidate = Candidate()
         candidate.driver.change(ZoneReader("north", "host-1", OWN, 2))
         candidate.answer(candidate.next_call(), LeaseGranted(8, LEASE_SECONDS))
@@ -251,10 +251,10 @@
         candidate.driver.now += LEASE_SECONDS
         assert candidate.next_call() is None
 
-    def test_does_not_while_the_store_is_away(self):
+    def test_claims_nothing_while_the_store_is_unreachable(self):
         candidate = Candidate()
         candidate.driver.change(ZoneReader("north", "host-1", OWN, 2))
-        candidate.driver.lose_store()
+        candidate.driver.fail_call()
         assert candidate.next_call() is None
 
 
@@ -267,7 +267,7 @@
     driver.list_store(make_configuration(), *entries, revision=revision)
 
 
-def test_lease_that_the_store_lost_is_not_ended_for_its_new_holder():
+def test_lease_lost_in_a_restore_is_not_ended():
     """A store comes back from before a host's lease, and gives its number to another.
 
     The host leaves and ends that number: the other's zone is without a reader.
@@ -278,7 +278,7 @@
     assert candidate.next_call() is None
 
 
-def test_reader_that_the_store_lost_claims_its_zone_anew():
+def test_reader_lost_in_a_restore_claims_its_zone_again():
     candidate = Candidate().register()
     restore(candidate.driver)
     candidate.next_call()
@@ -289,7 +289,7 @@
     assert candidate.next_call() == ClaimZone(8, "north", "host-1", OWN)
 
 
-def test_reader_that_is_in_the_copy_keeps_its_lease():
+def test_reader_that_the_restored_store_holds_keeps_its_lease():
     candidate = Candidate().register()
     reader = ZoneReader("north", "host-1", OWN, ordered_revision(1, 2))
     restore(candidate.driver, reader)
--- a/tests/test_tokens/test_following.py
+++ b/tests/test_tokens/test_following.py
@@ -20,7 +20,7 @@
 from tests.test_tokens.driver import (
     BOUND,
     ORDERS,
-    STREAMS,
+    PREVIEWS,
     Driver,
     make_configuration,
     make_route,
@@ -30,16 +30,16 @@
     READER,
     STORE_CALL,
     TIMES,
-    ask,
-    follower,
-    leader,
+    make_follower,
+    make_zone_reader,
     next_call,
     numbers,
+    poll_reader,
 )
 
 
-def test_asks_the_reader_in_place_of_the_store():
-    driver = follower()
+def test_polls_the_zone_reader_instead_of_the_store():
+    driver = make_follower()
     call = next_call(driver)
     age = driver.now - driver.tables.reader.current_at
     assert call == FollowReader(READER.endpoint, 2, TIMES.follow_age - age)
@@ -66,7 +66,7 @@
     Its followers hear nothing of an accepted change. Each one's call has a deadline;
     after it the store is asked, for an answer without a wait.
     """
-    driver = follower()
+    driver = make_follower()
     next_call(driver)
     driver.answer(answer)
     assert next_call(driver) == WatchEntries(2, 0.0)
@@ -74,27 +74,27 @@
     assert next_call(driver) == WatchEntries(2, TIMES.wait)
 
 
-def test_silent_reader_costs_less_than_the_bound():
+def test_unresponsive_reader_costs_less_than_the_bound():
     """A change is accepted as the reader falls silent, just after it was asked.
 
     What remains of the bound once the follower gives up must do for a call to the
     store over a new connection.
     """
-    driver = follower()
+    driver = make_follower()
     call = next_call(driver)
     given_up_at = driver.core.answer_deadline(call, driver.now)
     assert given_up_at - driver.now + STORE_CALL < BOUND
 
 
 @pytest.mark.parametrize("age", [0.0, 1.0, TIMES.follow_age])
-def test_reader_that_falls_silent_after_an_old_answer_costs_less_than_the_bound(age):
+def test_reader_that_fails_after_an_old_answer_costs_less_than_the_bound(age):
     """A reader is cut off from the store, and loses power before it can say so.
 
     Its last answer was just young enough to be followed, and the follower waited the
     full time for the next one: a change was in force after 5.8 s of 5 (emulator seed
     163; answered with an age of 2.88 s, then a call of 3.05 s, "no answer in time").
     """
-    driver = follower()
+    driver = make_follower()
     driver.now += 10.0
     next_call(driver)
     driver.answer(FeedAnswer((), 5, age, 0.0))
@@ -104,26 +104,26 @@
     assert given_up_at + STORE_CALL - driver.tables.reader.current_at < BOUND
 
 
-def test_reader_that_is_cut_off_costs_less_than_the_bound():
+def test_partitioned_reader_costs_less_than_the_bound():
     """The reader answers its followers, but hears nothing of the store any more.
 
     Followed on, it would hold its whole zone back. It tells the age of what it
     knows, and beyond an age that leaves time to read the store it is not followed.
     """
-    driver = follower()
+    driver = make_follower()
     next_call(driver)
     driver.answer(FeedAnswer((), 5, TIMES.follow_age + 0.01, 0.0))
     assert next_call(driver) == WatchEntries(5, 0.0)
     assert TIMES.follow_age + STORE_CALL < BOUND
 
 
-def test_answer_that_waited_on_its_way_counts_as_old():
+def test_answer_that_was_delayed_counts_as_old():
     """A follower is frozen for ten seconds with an answer in its socket.
 
     The answer tells the age it had when it was given. Counted from its arrival, the
     host would take ten seconds old news for fresh.
     """
-    driver = follower()
+    driver = make_follower()
     next_call(driver)
     sent_at = driver.now
     driver.now += 10.0
@@ -132,15 +132,15 @@
     assert isinstance(next_call(driver), WatchEntries)
 
 
-def test_failed_reader_is_asked_again_without_a_wait_and_less_and_less_often():
-    driver = follower()
+def test_failed_reader_is_polled_with_backoff_and_without_a_wait():
+    driver = make_follower()
     pauses = []
     for _ in range(6):
         while not isinstance(next_call(driver), FollowReader):
             driver.now += 0.05
             driver.answer(Changes((), None))
         asked_at = driver.now
-        driver.lose_store()
+        driver.fail_call()
         pauses.append(driver.tables.follow.retry_at - asked_at)
     assert pauses == pytest.approx([1.0, 2.0, 4.0, 8.0, 8.0, 8.0])
     driver.now = driver.tables.follow.retry_at
@@ -152,9 +152,9 @@
 
     Without a second source the refused host would serve by what it knew before.
     """
-    driver = follower()
+    driver = make_follower()
     next_call(driver)
-    driver.lose_store()
+    driver.fail_call()
     next_call(driver)
     driver.answer(Refused(503))
     driver.now = driver.tables.follow.retry_at
@@ -166,17 +166,17 @@
 
 
 def test_loss_of_the_reader_is_logged_once_with_its_cause():
-    driver = follower()
+    driver = make_follower()
     next_call(driver)
     driver.answer(FeedAnswer((), 5, 0.1, 0.0))
     next_call(driver)
-    driver.lose_store()
+    driver.fail_call()
     (lost,) = [log for log in driver.logs if log.number == READER_LOST.number]
     assert lost.fields["reader"] == "host-9"
     assert lost.fields["cause"] == "no answer in time"
 
 
-def test_news_take_nothing_back():
+def test_older_changes_are_not_applied():
     """A reader that has started anew is behind what its follower has in force."""
     driver = Driver(make_target(1), configuration=make_configuration(7))
     driver.change(READER)
@@ -188,28 +188,28 @@
     assert driver.tables.reader.revision == 2
 
 
-def test_removed_reader_is_followed_no_more():
-    driver = follower()
+def test_removed_reader_is_not_followed():
+    driver = make_follower()
     driver.change(ReaderRemoved("north", 3))
     assert isinstance(next_call(driver), WatchEntries)
     driver.change(ReaderRemoved("north", 4))
 
 
 def test_list_without_a_reader_ends_following():
-    driver = follower()
+    driver = make_follower()
     driver.answer(HistoryLost())
     driver.tables.reader.listed = False
     driver.list_store(make_configuration(), make_target(1), revision=9)
     assert driver.tables.zone_readers == {}
 
 
-def test_difference_from_another_configuration_is_not_applied():
+def test_difference_to_another_configuration_is_not_applied():
     """A follower has missed a configuration; its reader tells what came after it.
 
     Applied to the older one, removed routes would stay in force and be taken for
     current. The follower reads the store from where it stands.
     """
-    driver = follower()
+    driver = make_follower()
     next_call(driver)
     later = ConfigurationChange(5, 9, 15.0, (), (ORDERS,))
     driver.answer(FeedAnswer((later,), 12, 0.1, 0.0))
@@ -220,7 +220,7 @@
 ROUTES = st.lists(
     st.builds(
         make_route,
-        st.integers(STREAMS, STREAMS + 4),
+        st.integers(PREVIEWS, PREVIEWS + 4),
         st.sampled_from(("previews", "orders")),
         idempotent=st.booleans(),
     ),
@@ -232,16 +232,16 @@
 @given(st.lists(ROUTES, min_size=1, max_size=6), st.integers(0, 5))
 def test_differences_lead_to_the_same_configuration(versions, first):
     """A follower that joins at any version ends with the routes of the reader."""
-    reader, joined = leader(), follower()
+    reader, joined = make_zone_reader(), make_follower()
     for number, routes in enumerate(versions):
         reader.change(make_configuration(2 + number, routes))
         if number >= first:
-            news = ask(reader, joined.tables.reader.revision)
+            feed = poll_reader(reader, joined.tables.reader.revision)
             next_call(joined)
-            joined.answer(news)
-    news = ask(reader, joined.tables.reader.revision)
+            joined.answer(feed)
+    feed = poll_reader(reader, joined.tables.reader.revision)
     next_call(joined)
-    joined.answer(news)
+    joined.answer(feed)
     assert joined.tables.routes == reader.tables.routes
     assert joined.tables.configuration == reader.tables.configuration
 
@@ -249,44 +249,44 @@
 class CountedRoutes(dict):
     """Routes that count how many of them are looked at in a row."""
 
-    looked_at = 0
+    examined = 0
 
     def __iter__(self):
         for key in super().__iter__():
-            self.looked_at += 1
+            self.examined += 1
             yield key
 
     def keys(self):
-        self.looked_at += len(self)
+        self.examined += len(self)
         return super().keys()
 
     def values(self):
-        self.looked_at += len(self)
+        self.examined += len(self)
         return super().values()
 
     def items(self):
-        self.looked_at += len(self)
+        self.examined += len(self)
         return super().items()
 
 
-def test_change_of_one_route_costs_no_look_at_the_others():
+def test_change_of_one_route_does_not_scan_the_others():
     """Operators change one of 4,200 routes many times in a row.
 
     Each time all routes were made anew, 8.5 ms of processor: on a sixth of a core a
     host stood still for 50 ms a change, and callers' openings waited.
     """
-    routes = [make_route(STREAMS + number) for number in range(4200)]
+    routes = [make_route(PREVIEWS + number) for number in range(4200)]
     driver = Driver(make_target(1), configuration=make_configuration(1, routes))
     driver.change(READER)
     driver.tables.routes = counted = CountedRoutes(driver.tables.routes)
-    changed = make_route(STREAMS + 7, idempotent=False)
+    changed = make_route(PREVIEWS + 7, idempotent=False)
     for revision in range(2, 12):
         next_call(driver)
         change = ConfigurationChange(
-            revision - 1, revision, 15.0, (changed,), (STREAMS + revision + 100,)
+            revision - 1, revision, 15.0, (changed,), (PREVIEWS + revision + 100,)
         )
         driver.answer(FeedAnswer((change,), 10 + revision, 0.0, 0.0))
     assert driver.tables.routes is counted
-    assert counted.looked_at == 0
-    assert counted[STREAMS + 7] == changed
+    assert counted.examined == 0
+    assert counted[PREVIEWS + 7] == changed
     assert len(counted) == 4190
--- a/tests/test_tokens/test_inquiry.py
+++ b/tests/test_tokens/test_inquiry.py
@@ -29,7 +29,7 @@
     decode_message,
     encode_message,
 )
-from tests.test_tokens.driver import ORDERS, STREAMS, Driver, make_target, reason_of
+from tests.test_tokens.driver import ORDERS, PREVIEWS, Driver, make_target, reason_of
 
 #: The zone's reader, and the hosts that follow it.
 READER = "10.0.0.1"
@@ -39,11 +39,11 @@
 REPORTING = FOLLOWERS[:4]
 
 #: The target that dies, and how long a caller waits before it sends again.
-DEAD = 1
-RESEND = 0.2
+CRASHED = 1
+RETRANSMISSION_TIMEOUT = 0.2
 
 
-class ZoneOfHosts:
+class HostGroup:
     """Hosts that hand each other messages, with one clock."""
 
     def __init__(self):
@@ -56,7 +56,7 @@
             entry.endpoint = Endpoint(READER, 8166)
             self.hosts[address] = driver
         #: Addresses whose messages are lost.
-        self.silent = set()
+        self.disconnected = set()
         self.ports = itertools.count(100)
         self.now = 100.0
         for address in FOLLOWERS:
@@ -71,7 +71,7 @@
         poll = FeedPoll(self.reader.revision, self.now, self.now + 2.0, address)
         self.reader.core.answer_poll(poll, self.now)
 
-    def pass_time(self, seconds, step=0.01):
+    def advance(self, seconds, step=0.01):
         """Let time pass; all hosts take turns and hear each other."""
         until = self.now + seconds
         while self.now < until - step / 2:
@@ -84,22 +84,22 @@
         """Hand messages over; what they lead to too."""
         for action in actions:
             if not isinstance(action, Tell):
-                self.hosts[source].keep([action])
+                self.hosts[source].collect_logs([action])
                 continue
-            if source in self.silent or action.to in self.silent:
+            if source in self.disconnected or action.to in self.disconnected:
                 continue
             message = decode_message(encode_message(action.message))
             other = self.hosts[action.to]
             answers = other.core.handle_host_message(message, source, self.now)
             self.deliver(action.to, answers)
 
-    def connect(self, address, port, route=STREAMS):
+    def connect(self, address, port, route=PREVIEWS):
         """Open a flow to the target that dies; return its caller."""
         driver = self.hosts[address]
         caller = driver.caller(port, route)
-        row = driver.tables.targets[f"i-{DEAD:x}"]
+        row = driver.tables.targets[f"i-{CRASHED:x}"]
         caller.open()
-        caller.handle_store_answer(row)
+        caller.finish_handshake(row)
         caller.ack = 5001
         return caller
 
@@ -109,22 +109,22 @@
             self.connect(address, port)
             for address, port in zip(addresses, self.ports, strict=False)
         ]
-        self.pass_time(0.02)
+        self.advance(0.02)
         for caller in callers:
-            caller.ask()
+            caller.send_request()
         for driver in self.hosts.values():
-            driver.prove_path()
-        self.pass_time(RESEND)
+            driver.answer_control_openings()
+        self.advance(RETRANSMISSION_TIMEOUT)
         for caller in callers:
-            caller.ask_again()
+            caller.retransmit()
         return callers
 
-    def believes_lost(self, address):
-        row = self.hosts[address].tables.targets[f"i-{DEAD:x}"]
-        return row.lost_until > self.now
+    def considers_unreachable(self, address):
+        row = self.hosts[address].tables.targets[f"i-{CRASHED:x}"]
+        return row.unreachable_until > self.now
 
 
-def test_request_to_a_target_that_died_is_ended_at_a_host_that_saw_nothing():
+def test_request_to_a_crashed_target_is_reset_at_a_host_without_evidence():
     """Callers of a target that died wait until their deadlines.
 
     Targets died without a sign, and their entries stayed for five seconds. A host sees
@@ -132,196 +132,198 @@
     met at one host twice on a day of 29 dead targets, while 239 requests ran out their
     deadline. Fifty such signs of each were seen by some twenty hosts of its zone.
     """
-    zone = ZoneOfHosts()
+    zone = HostGroup()
     late = zone.connect(FOLLOWERS[5], 99)
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_TIMEOUT)
-    assert all(zone.believes_lost(address) for address in zone.hosts)
-    action = late.ask()
+    zone.advance(2 * REPLY_TIMEOUT)
+    assert all(zone.considers_unreachable(address) for address in zone.hosts)
+    action = late.send_request()
     assert reason_of(action) == ResetReason.TARGET_UNREACHABLE
 
 
 def test_new_flows_go_elsewhere_at_once():
-    zone = ZoneOfHosts()
+    zone = HostGroup()
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_TIMEOUT)
+    zone.advance(2 * REPLY_TIMEOUT)
     tables = zone.hosts[FOLLOWERS[5]].tables
     ids = {
         choose_target(tables, "previews", [], zone.now).target.target_id
         for _ in range(5)
     }
-    assert f"i-{DEAD:x}" not in ids
+    assert f"i-{CRASHED:x}" not in ids
 
 
-def test_request_that_may_run_once_only_is_not_ended():
-    zone = ZoneOfHosts()
+def test_non_idempotent_request_is_not_reset():
+    zone = HostGroup()
     order = zone.connect(FOLLOWERS[5], 99, ORDERS)
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_TIMEOUT)
-    assert isinstance(order.ask(), Forward)
+    zone.advance(2 * REPLY_TIMEOUT)
+    assert isinstance(order.send_request(), Forward)
 
 
 @pytest.mark.parametrize(
     "addresses", [REPORTING[1:], REPORTING[:1] * 4], ids=["three", "one host"]
 )
-def test_few_reports_ask_nobody(addresses):
+def test_few_reports_start_no_inquiry(addresses):
     """A flow of a target that lives is reset.
 
     Three datagrams to it were lost by chance, or one host's link is full and loses all
     that it sends. Neither may be taken for a lost target.
     """
-    zone = ZoneOfHosts()
+    zone = HostGroup()
     zone.lose_requests(addresses)
-    zone.pass_time(2 * REPLY_TIMEOUT)
+    zone.advance(2 * REPLY_TIMEOUT)
     assert zone.reader.tables.inquiry.number == 0
 
 
-def test_one_host_that_heard_the_target_is_enough():
+def test_one_host_with_an_answer_refutes_the_suspicion():
     """Four requests are lost on a bad link, and the target's flows are all reset.
 
     The target lives: at a fifth host a request was answered meanwhile. That host is
     asked, and what it says must outweigh all reports.
     """
-    zone = ZoneOfHosts()
+    zone = HostGroup()
     other = zone.connect(FOLLOWERS[4], 50)
     zone.lose_requests(REPORTING)
-    other.ask()
-    other.take_response()
-    zone.pass_time(2 * REPLY_TIMEOUT)
-    assert not any(zone.believes_lost(address) for address in zone.hosts)
+    other.send_request()
+    other.acknowledge_answer()
+    zone.advance(2 * REPLY_TIMEOUT)
+    assert not any(zone.considers_unreachable(address) for address in zone.hosts)
     assert zone.reader.tables.inquiry.refuted_at
 
 
-def test_without_replies_nothing_is_believed():
+def test_without_replies_there_is_no_verdict():
     """The reader's own link is full, and it resets what others could reach.
 
     Reports come through, its question or the replies do not: what it has not heard
     says nothing.
     """
-    zone = ZoneOfHosts()
+    zone = HostGroup()
     zone.lose_requests(REPORTING)
-    zone.pass_time(0.01)
-    zone.silent = set(FOLLOWERS[1:])
-    zone.pass_time(2 * REPLY_TIMEOUT)
+    zone.advance(0.01)
+    zone.disconnected = set(FOLLOWERS[1:])
+    zone.advance(2 * REPLY_TIMEOUT)
     assert zone.reader.tables.inquiry.number == 1
-    assert not any(zone.believes_lost(address) for address in zone.hosts)
+    assert not any(zone.considers_unreachable(address) for address in zone.hosts)
 
 
-def test_host_that_stood_still_says_nothing():
+def test_stalled_host_does_not_reply():
     """A frozen host has unread answers of a living target, and denies nothing.
 
     Its silence must not count as agreement: it does not reply at all.
     """
-    zone = ZoneOfHosts()
+    zone = HostGroup()
     zone.lose_requests(REPORTING)
-    zone.pass_time(0.01)
+    zone.advance(0.01)
     for address in FOLLOWERS[1:]:
         note_disturbance(zone.hosts[address].tables.local_path, zone.now)
-    zone.pass_time(2 * REPLY_TIMEOUT)
+    zone.advance(2 * REPLY_TIMEOUT)
     assert zone.reader.tables.inquiry.number == 1
-    assert not zone.believes_lost(FOLLOWERS[0])
+    assert not zone.considers_unreachable(FOLLOWERS[0])
 
 
-def test_host_whose_own_path_fails_does_not_act():
+def test_host_with_a_failing_local_path_ignores_the_verdict():
     """A verdict reaches a host whose link is full; flows that live are reset there.
 
     Nothing of what it sent lately was answered, so it cannot tell.
     """
-    zone = ZoneOfHosts()
+    zone = HostGroup()
     late = zone.connect(FOLLOWERS[5], 99)
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_TIMEOUT)
-    assert zone.believes_lost(FOLLOWERS[5])
+    zone.advance(2 * REPLY_TIMEOUT)
+    assert zone.considers_unreachable(FOLLOWERS[5])
     zone.hosts[FOLLOWERS[5]].tables.local_path.answers.clear()
-    assert isinstance(late.ask(), Forward)
+    assert isinstance(late.send_request(), Forward)
 
 
-def test_host_that_heard_the_target_since_does_not_believe():
-    zone = ZoneOfHosts()
+def test_host_with_a_later_answer_ignores_the_verdict():
+    zone = HostGroup()
     driver = zone.hosts[FOLLOWERS[0]]
-    driver.tables.targets[f"i-{DEAD:x}"].answered_at = zone.now
-    verdict = Verdict((Suspicion(DEAD, 0.3),))
-    driver.keep(driver.core.handle_host_message(verdict, READER, zone.now + 0.1))
-    assert not zone.believes_lost(FOLLOWERS[0])
+    driver.tables.targets[f"i-{CRASHED:x}"].answered_at = zone.now
+    verdict = Verdict((Suspicion(CRASHED, 0.3),))
+    driver.collect_logs(
+        driver.core.handle_host_message(verdict, READER, zone.now + 0.1)
+    )
+    assert not zone.considers_unreachable(FOLLOWERS[0])
 
 
-def test_verdict_of_an_earlier_start_counts_for_nothing():
+def test_verdict_on_an_earlier_incarnation_is_ignored():
     """A target starts again at once and its new flows are reset for two seconds."""
-    zone = ZoneOfHosts()
+    zone = HostGroup()
     driver = zone.hosts[FOLLOWERS[0]]
     driver.now = zone.now = zone.now + 1.0
-    driver.change(make_target(DEAD, revision=9, started=2))
-    driver.change(make_target(DEAD, revision=10, started=3))
-    verdict = Verdict((Suspicion(DEAD, 0.3),))
-    driver.keep(driver.core.handle_host_message(verdict, READER, zone.now))
-    assert not zone.believes_lost(FOLLOWERS[0])
+    driver.change(make_target(CRASHED, revision=9, started=2))
+    driver.change(make_target(CRASHED, revision=10, started=3))
+    verdict = Verdict((Suspicion(CRASHED, 0.3),))
+    driver.collect_logs(driver.core.handle_host_message(verdict, READER, zone.now))
+    assert not zone.considers_unreachable(FOLLOWERS[0])
 
 
-def test_an_answer_ends_the_belief():
-    zone = ZoneOfHosts()
+def test_answer_ends_the_verdict():
+    zone = HostGroup()
     callers = zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_TIMEOUT)
-    assert zone.believes_lost(FOLLOWERS[0])
-    callers[0].take_response()
-    assert not zone.believes_lost(FOLLOWERS[0])
+    zone.advance(2 * REPLY_TIMEOUT)
+    assert zone.considers_unreachable(FOLLOWERS[0])
+    callers[0].acknowledge_answer()
+    assert not zone.considers_unreachable(FOLLOWERS[0])
 
 
-def test_belief_ends_by_itself():
-    zone = ZoneOfHosts()
+def test_verdict_expires():
+    zone = HostGroup()
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_TIMEOUT + VERDICT_LIFETIME)
-    assert not any(zone.believes_lost(address) for address in zone.hosts)
+    zone.advance(2 * REPLY_TIMEOUT + VERDICT_LIFETIME)
+    assert not any(zone.considers_unreachable(address) for address in zone.hosts)
 
 
-def test_links_that_lose_much_have_no_targets_lost():
+def test_lossy_links_cause_no_verdict():
     """Links lose 3 of 100 datagrams, and flows of living targets are reset.
 
     Targets are reported again and again, and have answered after all. While that goes
     on a target that no host happens to have heard of is not lost either.
     """
-    zone = ZoneOfHosts()
+    zone = HostGroup()
     zone.reader.tables.inquiry.refuted_at.extend([zone.now, zone.now])
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_TIMEOUT)
-    assert not any(zone.believes_lost(address) for address in zone.hosts)
-    zone.pass_time(REFUTATION_WINDOW)
+    zone.advance(2 * REPLY_TIMEOUT)
+    assert not any(zone.considers_unreachable(address) for address in zone.hosts)
+    zone.advance(REFUTATION_WINDOW)
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_TIMEOUT)
-    assert zone.believes_lost(READER)
+    zone.advance(2 * REPLY_TIMEOUT)
+    assert zone.considers_unreachable(READER)
 
 
-def test_targets_that_had_just_answered_do_not_hide_the_others():
+def test_refuted_targets_do_not_block_verdicts_on_others():
     """A quarter of the targets die at once, two of which had answered just before.
 
     Put down to lossy links, that left a whole zone without a verdict for two seconds,
     and requests to ten dead targets ran out their deadlines.
     """
-    zone = ZoneOfHosts()
+    zone = HostGroup()
     table = zone.reader.tables.inquiry
     table.refuted_at.extend([zone.now, zone.now])
     table.unrefuted_at.update(dict.fromkeys(range(100, 110), zone.now))
     zone.lose_requests(REPORTING)
-    zone.pass_time(2 * REPLY_TIMEOUT)
-    assert zone.believes_lost(READER)
+    zone.advance(2 * REPLY_TIMEOUT)
+    assert zone.considers_unreachable(READER)
 
 
-def test_old_reports_are_forgotten():
-    zone = ZoneOfHosts()
+def test_old_reports_expire():
+    zone = HostGroup()
     zone.lose_requests(REPORTING[:3])
-    zone.pass_time(REPORT_LIFETIME + 0.1)
+    zone.advance(REPORT_LIFETIME + 0.1)
     zone.lose_requests(REPORTING[3:])
-    zone.pass_time(2 * REPLY_TIMEOUT)
+    zone.advance(2 * REPLY_TIMEOUT)
     assert zone.reader.tables.inquiry.number == 0
 
 
 @pytest.mark.parametrize(
     "message", [Inquiry(1, (Suspicion(1, 0.3),)), Verdict((Suspicion(1, 0.3),))]
 )
-def test_only_the_reader_is_believed(message):
-    zone = ZoneOfHosts()
+def test_only_the_zone_reader_is_trusted(message):
+    zone = HostGroup()
     driver = zone.hosts[FOLLOWERS[0]]
     assert driver.core.handle_host_message(message, FOLLOWERS[1], zone.now) == []
-    assert not zone.believes_lost(FOLLOWERS[0])
+    assert not zone.considers_unreachable(FOLLOWERS[0])
 
 
 SUSPICIONS = st.lists(
@@ -342,7 +344,7 @@
 
 
 @given(MESSAGES)
-def test_messages_come_back_as_they_were(message):
+def test_messages_survive_encoding(message):
     assert decode_message(encode_message(message)) == message
 
 
@@ -363,5 +365,5 @@
         b'{"inquiry": 1}',
     ],
 )
-def test_what_has_another_shape_is_no_message(data):
+def test_datagram_of_another_shape_is_no_message(data):
     assert decode_message(data) is None
--- a/tests/test_tokens/test_leaving.py
+++ b/tests/test_tokens/test_leaving.py
@@ -6,7 +6,7 @@
 from tests.test_tokens.driver import Driver, make_target
 
 
-def test_forwards_on_while_routers_still_send():
+def test_forwards_while_routers_still_send():
     """An operator stops a host; routers miss its readiness twice, then turn away.
 
     Until then callers' packets still come, and are forwarded as before. A host
@@ -18,7 +18,7 @@
     driver.core.leave(driver.now + 5.0, driver.now)
     assert not driver.core.ready
     driver.now += 1.0
-    assert isinstance(caller.ask(), Forward)
+    assert isinstance(caller.send_request(), Forward)
     assert not driver.core.may_stop(driver.now)
 
 
@@ -35,7 +35,7 @@
     caller.connect()
     driver.core.leave(driver.now + 5.0, driver.now)
     driver.now += 5.0
-    caller.ask()
+    caller.send_request()
     assert driver.core.may_stop(driver.now)
 
 
--- a/tests/test_tokens/test_local_path.py
+++ b/tests/test_tokens/test_local_path.py
@@ -16,18 +16,18 @@
     return callers
 
 
-def send_in_vain(driver, callers):
+def retransmit_requests(driver, callers):
     """Have requests go out that are sent again 200 ms later."""
     for caller in callers:
-        caller.ask()
+        caller.send_request()
     driver.now += 0.2
-    actions = [caller.ask_again() for caller in callers]
+    actions = [caller.retransmit() for caller in callers]
     driver.now += 0.4
-    return actions + [caller.ask_again() for caller in callers]
+    return actions + [caller.retransmit() for caller in callers]
 
 
 class TestControl:
-    def test_silence_of_all_targets_resets_nothing(self):
+    def test_timeouts_of_all_targets_reset_nothing(self):
         """Six times the callers; the host's link of 5 Mbit/s is full for a second.
 
         Requests to every target wait there, and callers send them again after 200 ms.
@@ -35,33 +35,33 @@
         break flows by the dozen.
         """
         driver = Driver(make_target(1))
-        for action in send_in_vain(driver, connect(driver, 6)):
+        for action in retransmit_requests(driver, connect(driver, 6)):
             assert isinstance(action, Forward)
 
-    def test_silence_of_a_whole_zone_and_of_all_others_resets_nothing(self):
+    def test_timeouts_of_all_zones_reset_nothing(self):
         """The same, with the targets in another zone: that zone is not cut off."""
         driver = Driver(*(make_target(number, "south") for number in range(1, 6)))
-        for action in send_in_vain(driver, connect(driver, 5)):
+        for action in retransmit_requests(driver, connect(driver, 5)):
             assert isinstance(action, Forward)
 
-    def test_answers_to_what_was_sent_before_are_no_control(self):
+    def test_answers_to_earlier_packets_are_no_control(self):
         """The link filled up a moment ago; answers to earlier packets still come."""
         driver = Driver(make_target(1))
         callers = connect(driver, 2)
-        driver.prove_path()
-        for action in send_in_vain(driver, callers):
+        driver.answer_control_openings()
+        for action in retransmit_requests(driver, callers):
             assert isinstance(action, Forward)
 
-    def test_answers_of_a_silent_zones_targets_are_no_control_for_it(self):
+    def test_answers_from_the_unresponsive_zone_are_no_control(self):
         """Of a zone that is cut off nothing answers; another zone must."""
         driver = Driver(make_target(1, "south"))
         (caller,) = connect(driver, 1)
-        caller.ask()
+        caller.send_request()
         for pause in (0.2, 0.4, 0.8):
             driver.now += pause
-            assert isinstance(caller.ask_again(), Forward)
+            assert isinstance(caller.retransmit(), Forward)
 
-    def test_pause_of_the_host_voids_what_came_before(self):
+    def test_stall_of_the_host_voids_earlier_evidence(self):
         """The host stands still for a second while requests to a target are under way.
 
         What it should have sent on waited in its socket. Others are answered at once
@@ -70,44 +70,44 @@
         driver = Driver(make_target(1))
         callers = connect(driver, 2)
         for caller in callers:
-            caller.ask()
-        driver.prove_path()
+            caller.send_request()
+        driver.answer_control_openings()
         driver.core.begin_iteration(driver.now)
         driver.now += 1.0
         assert driver.core.begin_iteration(driver.now)
         for _ in range(2):
             for caller in callers:
-                assert isinstance(caller.ask_again(), Forward)
+                assert isinstance(caller.retransmit(), Forward)
             driver.now += 0.06
 
-    def test_failed_send_voids_what_came_before(self):
+    def test_failed_send_voids_earlier_evidence(self):
         driver = Driver(make_target(1))
         callers = connect(driver, 2)
         for caller in callers:
-            caller.ask()
-        driver.prove_path()
+            caller.send_request()
+        driver.answer_control_openings()
         driver.core.note_failed_send(driver.now)
         for pause in (0.2, 0.06):
             driver.now += pause
             for caller in callers:
-                assert isinstance(caller.ask_again(), Forward)
+                assert isinstance(caller.retransmit(), Forward)
 
-    def test_control_lets_a_dead_target_be_known(self):
+    def test_control_answers_confirm_a_crashed_target(self):
         driver = Driver(make_target(1))
         callers = connect(driver, 2)
         for caller in callers:
-            caller.ask()
-        driver.prove_path()
+            caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
-        assert isinstance(callers[0].ask_again(), Forward)
+        assert isinstance(callers[0].retransmit(), Forward)
         driver.now += 0.06
-        assert reason_of(callers[1].ask_again()) is ResetReason.TARGET_UNREACHABLE
+        assert reason_of(callers[1].retransmit()) is ResetReason.TARGET_UNREACHABLE
 
 
 class TestLosses:
     """Requests of three flows: two to a silent target, one to a target that answers."""
 
-    def losses_beside(self, answered, zone="north"):
+    def lose_request_to_another_target(self, answered, zone="north"):
         """Have a request to another target be lost too; return what a reset brings.
 
         Parameters
@@ -125,29 +125,29 @@
         assert other.connect().target.target_id == "i-2"
         driver.now += 0.05
         for caller in (*callers, other):
-            caller.ask()
+            caller.send_request()
         for _ in range(answered // 2):
-            driver.prove_path()
+            driver.answer_control_openings()
         driver.now += 0.2
-        other.ask_again()
-        callers[0].ask_again()
+        other.retransmit()
+        callers[0].retransmit()
         driver.now += 0.06
-        return callers[1].ask_again()
+        return callers[1].retransmit()
 
-    def test_losses_on_other_ways_are_the_hosts_own(self):
+    def test_losses_on_other_paths_are_attributed_to_the_host(self):
         """A full link drops every third packet; what gets through is answered.
 
         By chance two requests to one target are lost with their copies, while others
         go on to others. Answers alone would be control enough.
         """
-        assert isinstance(self.losses_beside(answered=2), Forward)
+        assert isinstance(self.lose_request_to_another_target(answered=2), Forward)
 
-    def test_one_loss_among_many_answers_is_usual(self):
+    def test_one_loss_among_many_answers_is_tolerated(self):
         answered = int(1 / MAX_LOSS_RATIO) + 2
-        reason = reason_of(self.losses_beside(answered))
+        reason = reason_of(self.lose_request_to_another_target(answered))
         assert reason is ResetReason.TARGET_UNREACHABLE
 
-    def losses_before(self, *, answered):
+    def lose_requests_before(self, *, answered):
         """Have two requests be lost, a second before two more are.
 
         Parameters
@@ -161,36 +161,38 @@
         late = [driver.caller(port) for port in (10, 11, 12, 13)]
         rows = [caller.connect() for caller in late]
         late = [one for one, place in zip(late, rows, strict=True) if place is row]
-        send_in_vain(driver, early)
+        retransmit_requests(driver, early)
         if answered:
             driver.now += 0.03
             for caller in early:
-                caller.take_response()
+                caller.acknowledge_answer()
         driver.now += 0.3
         for caller in late:
-            caller.ask()
+            caller.send_request()
         for _ in range(5):
-            driver.prove_path()
+            driver.answer_control_openings()
         driver.now += 0.2
-        late[0].ask_again()
+        late[0].retransmit()
         driver.now += 0.06
-        return late[1].ask_again()
+        return late[1].retransmit()
 
-    def test_requests_that_were_lost_before_and_answered_then_are_the_hosts_own(self):
+    def test_earlier_losses_that_were_answered_are_attributed_to_the_host(self):
         """The burst lasts; some requests have got through only when sent again.
 
         Their targets were there. Two more that are lost with their copies, to a target
         that has been silent for a moment, show no more than that.
         """
-        assert isinstance(self.losses_before(answered=True), Forward)
+        assert isinstance(self.lose_requests_before(answered=True), Forward)
 
-    def test_losses_to_a_zone_that_is_cut_off_are_not(self):
+    def test_losses_to_a_partitioned_zone_are_not_attributed_to_the_host(self):
         """The host's own zone is cut off; a target in it has died as well."""
-        reason = reason_of(self.losses_beside(answered=2, zone="south"))
+        reason = reason_of(
+            self.lose_request_to_another_target(answered=2, zone="south")
+        )
         assert reason is ResetReason.TARGET_UNREACHABLE
 
 
-def test_flow_that_comes_from_another_host_is_no_answer():
+def test_flow_from_another_host_is_no_answer():
     """A host has gone; its flows come here, some of them to a target that is dead.
 
     Their openings were answered long ago. Taken for answers now, they would clear the
@@ -199,11 +201,11 @@
     driver = Driver(make_target(1), make_target(2))
     first = driver.caller(1)
     row = first.connect()
-    first.ask()
+    first.send_request()
     driver.now += 0.2
-    first.ask_again()
+    first.retransmit()
     avoided_until = row.avoid_until
     moved = driver.caller(2)
     moved.token = row.token
-    assert isinstance(moved.ask(), Forward)
+    assert isinstance(moved.send_request(), Forward)
     assert (row.timeouts, row.avoid_until) == (1, avoided_until)
--- a/tests/test_tokens/test_openings.py
+++ b/tests/test_tokens/test_openings.py
@@ -5,7 +5,7 @@
 from citronspring.tcp_flags import ACK
 from citronspring.tokens.messages import DropReason, Forward, ResetReason
 from tests.test_tokens.driver import (
-    STREAMS,
+    PREVIEWS,
     Driver,
     make_configuration,
     make_route,
@@ -34,7 +34,7 @@
     assert driver.wait(0.5) == []
 
 
-def test_copies_that_waited_together_go_to_one_target():
+def test_retransmissions_that_were_queued_go_to_one_target():
     """The host stood still; an opening and the caller's copies wait in its socket.
 
     All three are read in one go. Sent to three targets, two would answer a flow
@@ -57,20 +57,20 @@
     caller = driver.caller(1)
     first = caller.open().target
     (second,) = driver.wait(0.035)
-    caller.handle_store_answer(first)
+    caller.finish_handshake(first)
     caller.token = second.target.token
-    assert caller.ask().target is first
+    assert caller.send_request().target is first
     assert second.target.flows == 0
 
 
-def test_no_route_is_refused_only_by_a_host_that_is_current():
+def test_only_a_current_host_refuses_a_missing_route():
     """A route was added a moment ago, and this host's reading hangs.
 
     Its knowledge is older than the bound, so it stays silent. A reset would end
     an attempt that the newest configuration allows.
     """
     driver = Driver(make_target(1))
-    unknown = STREAMS + 1
+    unknown = PREVIEWS + 1
     assert reason_of(driver.caller(1, unknown).open()) is ResetReason.NO_ROUTE
     driver.wait(2.5)
     assert reason_of(driver.caller(2, unknown).open()) is DropReason.NOT_CURRENT
@@ -88,7 +88,7 @@
     assert placed == {"i-2"}
 
 
-def test_second_try_never_goes_to_a_target_that_started_to_leave():
+def test_second_attempt_never_goes_to_a_leaving_target():
     """A target starts to leave between an opening and its second try."""
     driver = Driver(make_target(1), make_target(2))
     first = target_of(driver.caller(1).open())
@@ -119,11 +119,11 @@
     driver = Driver(make_target(1), make_target(2))
     caller = driver.caller(1)
     busy = caller.connect()
-    caller.ask()
+    caller.send_request()
     assert target_of(driver.caller(2).open()) != busy.target.target_id
 
 
-def test_port_used_again_is_a_new_flow():
+def test_reused_port_is_a_new_flow():
     driver = Driver(make_target(1))
     old = driver.caller(1)
     row = old.connect()
@@ -133,7 +133,7 @@
     assert row.flows == 1
 
 
-def test_flow_keeps_its_target_when_its_route_turns_to_another_service():
+def test_flow_keeps_its_target_when_its_route_switches_services():
     """The operators turn a route to another service under an open preview.
 
     The flow's token names a target of the old service. It goes on there; only new
@@ -144,11 +144,11 @@
     caller.connect()
     route = make_route(service="archive")
     driver.change(make_configuration(2, [route]))
-    assert target_of(caller.ask()) == "i-1"
+    assert target_of(caller.send_request()) == "i-1"
     assert target_of(driver.caller(2).open()) == "i-2"
 
 
-def test_tokens_that_mean_nothing_forward_nothing():
+def test_invalid_tokens_are_not_forwarded():
     """A caller sends tokens that were never issued, or of another service.
 
     Followed, they would let it reach any target, of any client account.
@@ -161,13 +161,13 @@
     assert reason_of(caller.send(ACK, 10)) is DropReason.FOREIGN_TOKEN
 
 
-def test_token_of_a_forgotten_target_forwards_nothing():
+def test_token_of_a_removed_target_is_not_forwarded():
     driver = Driver(make_target(1), make_target(2))
     caller = driver.caller(1)
     row = caller.connect()
     driver.remove(row.target.incarnation)
     driver.wait(31.0)
-    assert reason_of(caller.ask()) is DropReason.UNKNOWN_TOKEN
+    assert reason_of(caller.send_request()) is DropReason.UNKNOWN_TOKEN
 
 
 def test_another_host_forwards_by_the_token_alone():
@@ -177,7 +177,7 @@
     caller = first.caller(1)
     row = caller.connect()
     caller.driver = second
-    assert target_of(caller.ask()) == row.target.target_id
+    assert target_of(caller.send_request()) == row.target.target_id
 
 
 def test_full_table_still_forwards(monkeypatch):
@@ -188,11 +188,11 @@
     caller = driver.caller(2)
     assert target_of(caller.open()) == "i-1"
     caller.token = 1
-    assert target_of(caller.ask()) == "i-1"
+    assert target_of(caller.send_request()) == "i-1"
     assert len(driver.tables.flows) == 1
 
 
-def test_opening_that_waited_through_a_pause_is_not_placed():
+def test_opening_that_was_queued_during_a_stall_is_not_placed():
     """A host is frozen for seconds with an opening in its socket, then thaws.
 
     The caller's copy went through another host, and its flow is open. Placed here
@@ -207,7 +207,7 @@
     assert isinstance(driver.caller(2).open(), Forward)
 
 
-def test_pause_within_a_turn_is_noticed():
+def test_stall_within_an_iteration_is_detected():
     """The process stands still after its turn has begun, between two packets."""
     driver = Driver(make_target(1))
     driver.core.begin_iteration(driver.now)
@@ -217,7 +217,7 @@
     assert reason_of(driver.caller(2).open()) is DropReason.WAITED
 
 
-def test_sleep_is_no_pause():
+def test_sleep_is_no_stall():
     """The process slept because nothing came; the first opening is placed."""
     driver = Driver(make_target(1))
     driver.core.begin_iteration(driver.now)
@@ -226,21 +226,21 @@
     assert isinstance(driver.caller(1).open(), Forward)
 
 
-def test_timer_that_comes_far_too_late_sends_nothing():
+def test_timer_that_is_far_too_late_sends_nothing():
     """The host stood still between an opening and its second try."""
     driver = Driver(make_target(1), make_target(2))
     caller = driver.caller(1)
     row = caller.open().target
     driver.now += 3.0
-    assert driver.keep(driver.core.tick(driver.now)) == []
+    assert driver.collect_logs(driver.core.tick(driver.now)) == []
     assert row.timeouts == 0
 
 
-def test_packets_of_open_flows_are_forwarded_after_a_pause():
+def test_packets_of_open_flows_are_forwarded_after_a_stall():
     driver = Driver(make_target(1))
     caller = driver.caller(1)
     caller.connect()
     driver.core.begin_iteration(driver.now)
     driver.now += 3.0
     driver.core.begin_iteration(driver.now)
-    assert target_of(caller.ask()) == "i-1"
+    assert target_of(caller.send_request()) == "i-1"
--- a/tests/test_tokens/test_peer_snapshot.py
+++ b/tests/test_tokens/test_peer_snapshot.py
@@ -29,7 +29,7 @@
 )
 
 
-def started(driver, peers=2):
+def restarted_host(driver, peers=2):
     """Have a driver's host start anew, knowing nothing, with some peers."""
     times = ReaderTimes.from_bounds(BOUND, SETTLING)
     driver.core = TokenBalancer.from_config("host-2", "north", times, peers)
@@ -46,12 +46,12 @@
     return driver.core.next_call(driver.now)
 
 
-def test_asks_peers_and_store_by_turns_until_it_knows_something():
-    driver = started(Driver(make_target(1)))
+def test_asks_peers_and_store_by_turns_until_it_has_state():
+    driver = restarted_host(Driver(make_target(1)))
     calls = []
     for _ in range(5):
         calls.append(next_call(driver))
-        driver.lose_store()
+        driver.fail_call()
     assert calls == [
         ListEntries(),
         ReadPeer(0),
@@ -62,18 +62,18 @@
 
 
 def test_host_without_peers_keeps_asking_the_store():
-    driver = started(Driver(make_target(1)), peers=0)
+    driver = restarted_host(Driver(make_target(1)), peers=0)
     next_call(driver)
-    driver.lose_store()
+    driver.fail_call()
     assert next_call(driver) == ListEntries()
 
 
-def test_serves_by_a_copy_and_goes_on_from_its_revision():
+def test_serves_from_a_snapshot_and_continues_at_its_revision():
     """The store refuses a restarted host; its callers are served all the same."""
     peer = Driver(make_target(1), make_target(2, leaving=True))
-    driver = started(Driver(make_target(1)))
+    driver = restarted_host(Driver(make_target(1)))
     next_call(driver)
-    driver.lose_store()
+    driver.fail_call()
     driver.answer(snapshot_of(peer))
     assert driver.core.ready
     placed = {target_of(driver.caller(port).open()) for port in range(4)}
@@ -83,7 +83,7 @@
     assert call.after_revision == peer.tables.reader.revision
 
 
-def test_copy_of_a_peer_that_is_behind_makes_nothing_current():
+def test_snapshot_of_an_outdated_peer_makes_nothing_current():
     """The peer has been without the store for long, too.
 
     Its copy serves known routes. Others are not refused: the newest configuration
@@ -91,7 +91,7 @@
     """
     peer = Driver(make_target(1))
     peer.now += 20.0
-    driver = started(Driver(make_target(1), now=peer.now))
+    driver = restarted_host(Driver(make_target(1), now=peer.now))
     driver.answer(snapshot_of(peer))
     assert not is_current(driver.tables, driver.core.times, driver.now)
     assert reason_of(driver.caller(1, 5).open()).value == "not-current"
@@ -103,23 +103,23 @@
     driver.tables.peers = 2
     for _ in range(4):
         assert not isinstance(next_call(driver), ReadPeer)
-        driver.lose_store()
+        driver.fail_call()
 
 
-def test_older_copy_takes_nothing_back():
+def test_older_snapshot_is_not_applied():
     peer = Driver(make_target(1), configuration=make_configuration(3))
     driver = Driver(make_target(1), configuration=make_configuration(5))
     driver.answer(snapshot_of(peer))
     assert driver.tables.configuration == 5
 
 
-def test_host_that_knows_nothing_gives_nothing():
-    driver = started(Driver(make_target(1)))
+def test_host_without_state_provides_no_snapshot():
+    driver = restarted_host(Driver(make_target(1)))
     assert snapshot_of(driver) == Refused(503)
 
 
 @pytest.mark.parametrize("name", ["configuration", "targets", "revision", "age"])
-def test_copy_of_another_shape_is_no_answer(name):
+def test_snapshot_of_another_shape_counts_as_unanswered(name):
     """A peer of another release gives a copy that this one cannot read."""
     _, body = encode_snapshot(Driver(make_target(1)).tables, 100.0)
     broken = {**json.loads(body), name: "x"}
@@ -127,11 +127,13 @@
     assert isinstance(answer, Unanswered)
 
 
-def test_copy_comes_through_whole():
+def test_snapshot_is_decoded_completely():
     peer = Driver(make_target(1, "south", warmup=2.0), make_target(2))
-    copy = snapshot_of(peer)
-    assert isinstance(copy, PeerSnapshot)
-    first = copy.entries[0]
+    snapshot = snapshot_of(peer)
+    assert isinstance(snapshot, PeerSnapshot)
+    first = snapshot.entries[0]
     assert (first.target_id, first.zone, first.endpoint.port) == ("i-1", "south", 8080)
     assert first.warmup == 2.0
-    assert copy.configuration.routes[0].shares == make_configuration().routes[0].shares
+    assert (
+        snapshot.configuration.routes[0].shares == make_configuration().routes[0].shares
+    )
--- a/tests/test_tokens/test_restarts.py
+++ b/tests/test_tokens/test_restarts.py
@@ -31,7 +31,7 @@
 
 
 class TestNewStart:
-    def test_what_was_believed_of_the_old_start_goes(self):
+    def test_state_of_the_old_incarnation_is_dropped(self):
         """A target crashes under its flows and starts again at once, under its id.
 
         Its entry never left the store. Counted on, dead flows and their silence
@@ -40,10 +40,10 @@
         driver = Driver(make_target(1, started=FIRST_START))
         caller = driver.caller(1, ORDERS)
         caller.connect()
-        caller.ask()
+        caller.send_request()
         for _ in range(4):
             driver.now += 0.2
-            caller.ask_again()
+            caller.retransmit()
         assert driver.tables.targets["i-1"].avoid_until > driver.now
         restart(driver)
         row = driver.tables.targets["i-1"]
@@ -51,7 +51,7 @@
         assert driver.tables.flows == {}
         assert driver.tables.by_service["previews"] == [row]
 
-    def test_packet_of_a_flow_of_the_old_start_goes_to_the_target(self):
+    def test_packet_of_an_old_flow_is_forwarded_to_the_target(self):
         """A caller goes on with a flow that died with the target's earlier start.
 
         The target itself says that it does not know the flow; a host that dropped
@@ -62,17 +62,17 @@
         caller.connect()
         moved = make_target(9).endpoint
         restart(driver, endpoint=moved)
-        action = caller.ask()
+        action = caller.send_request()
         assert isinstance(action, Forward)
         assert action.target.target.endpoint == moved
 
-    def test_new_flows_reach_it(self):
+    def test_new_flows_reach_the_new_incarnation(self):
         driver = first_and_other()
         restart(driver)
         driver.remove(2)
         assert target_of(driver.caller(1).open()) == "i-1"
 
-    def test_late_write_of_the_old_start_changes_nothing(self):
+    def test_late_write_of_the_old_incarnation_is_ignored(self):
         """The old start's report that it leaves was lost, and is done seconds later.
 
         It comes with a newer revision than the entry of the start that serves. Taken,
@@ -85,7 +85,7 @@
         driver.change(late)
         assert not driver.tables.targets["i-1"].target.leaving
 
-    def test_same_start_changes_without_losing_what_is_known(self):
+    def test_change_of_the_same_incarnation_keeps_its_state(self):
         driver = Driver(make_target(1, started=FIRST_START))
         driver.caller(1).connect()
         driver.change(make_target(1, started=FIRST_START, leaving=True, revision=2))
@@ -93,24 +93,24 @@
         assert row.target.leaving
         assert row.flows == 1
 
-    def test_target_that_says_nothing_of_its_start_is_used(self):
+    def test_target_without_a_start_time_is_used(self):
         driver = Driver(make_target(1))
         driver.change(make_target(1, leaving=True, revision=2))
         assert driver.tables.targets["i-1"].target.leaving
 
-    def test_start_is_handed_on_to_followers_and_peers(self):
+    def test_start_time_is_encoded_for_followers_and_peers(self):
         target = make_target(1, started=FIRST_START)
         assert decode_change(encode_change(target)).started == FIRST_START
         assert decode_target(encode_target(target, 0.0)).started == FIRST_START
 
-    def test_copy_of_an_older_release_names_no_start(self):
+    def test_target_of_an_older_release_has_no_start_time(self):
         plain = encode_target(make_target(1), 0.0)
         del plain["started"]
         assert decode_target(plain).started is None
 
 
 class TestUnreadable:
-    def test_last_good_entry_stays_in_force(self):
+    def test_last_valid_entry_stays_in_effect(self):
         """Another program writes over the entry of a target that serves.
 
         The target writes it anew within a heartbeat. Until then its flows go on, and
@@ -120,10 +120,10 @@
         caller = driver.caller(1)
         row = caller.connect()
         driver.change(Unreadable(row.target.target_id, "no JSON", 2))
-        assert isinstance(caller.ask(), Forward)
+        assert isinstance(caller.send_request(), Forward)
         assert row in driver.tables.by_service["previews"]
 
-    def test_entry_of_a_later_start_ends_what_was_known(self):
+    def test_entry_of_a_later_incarnation_removes_the_target(self):
         """The entry cannot be read, but shows that the target has started again.
 
         Its last good entry speaks of a start that is over.
@@ -132,13 +132,13 @@
         driver.change(Unreadable("i-1", "state is 'parked'", 2, SECOND_START))
         assert target_of(driver.caller(1).open()) == "i-2"
 
-    def test_entry_of_an_unknown_id_names_no_target(self):
+    def test_entry_with_an_unknown_id_adds_no_target(self):
         driver = first_and_other()
         driver.change(Unreadable("i-7", "no JSON", 2))
         assert "i-7" not in driver.tables.targets
         assert len(driver.tables.by_service["previews"]) == 2
 
-    def test_entry_without_a_start_replaces_none_that_names_one(self):
+    def test_entry_without_a_start_time_replaces_none_that_has_one(self):
         """Another program writes an entry that looks like a target's, for its id."""
         driver = Driver(make_target(1, started=FIRST_START))
         foreign = make_target(1, endpoint=make_target(9).endpoint, revision=2)
@@ -146,7 +146,7 @@
         row = driver.tables.targets["i-1"]
         assert row.target.endpoint == make_target(1).endpoint
 
-    def test_followers_hear_of_it(self):
+    def test_unreadable_entry_is_encoded_for_followers(self):
         entry = Unreadable("i-1", "no JSON", 7, SECOND_START)
         found = decode_change(encode_change(entry))
         assert (found.name, found.reason) == ("i-1", "no JSON")
--- a/tests/test_tokens/test_store_reader.py
+++ b/tests/test_tokens/test_store_reader.py
@@ -60,7 +60,7 @@
     assert driver.tables.targets["i-1"].target.leaving
 
 
-def test_list_removes_what_it_does_not_hold():
+def test_list_removes_missing_targets():
     driver = Driver(make_target(1), make_target(2))
     driver.answer(HistoryLost())
     driver.list_store(make_configuration(), make_target(2), revision=9)
@@ -82,7 +82,7 @@
     assert driver.tables.targets["i-2"] in driver.tables.by_service["previews"]
 
 
-def test_unreadable_entry_keeps_what_was_known():
+def test_unreadable_entry_keeps_the_last_valid_one():
     """A target writes an entry that cannot be decoded.
 
     It is there, and its last good entry stays in force; other entries count.
@@ -110,7 +110,7 @@
     assert call.after_revision == 20
 
 
-def test_answer_without_news_does_not_move_the_watch():
+def test_answer_without_changes_does_not_advance_the_watch():
     """A store lets a watch hear nothing while entries change, then answers it.
 
     Were the revision of that answer taken, the changes would be missed for good.
@@ -121,12 +121,12 @@
     assert call.after_revision == driver.tables.reader.revision == 1
 
 
-def test_list_that_fails_half_way_changes_nothing():
+def test_incomplete_list_changes_nothing():
     """The store goes down between two pages: what is known stays in force."""
     driver = Driver(make_target(1))
     driver.answer(HistoryLost())
     driver.answer(Page((make_configuration(),), 20, "op/x"))
-    driver.lose_store()
+    driver.fail_call()
     assert target_of(driver.caller(1).open()) == "i-1"
 
 
@@ -138,7 +138,7 @@
     assert target_of(driver.caller(1).open()) == "i-1"
 
 
-def test_removal_that_is_older_than_the_entry_changes_nothing():
+def test_removal_that_is_older_than_the_entry_is_ignored():
     driver = Driver(make_target(1, revision=9))
     driver.answer(Changes((TargetRemoved("i-1", 8),), 8))
     assert target_of(driver.caller(1).open()) == "i-1"
@@ -165,7 +165,7 @@
 @pytest.mark.parametrize(
     ("change", "settling"), [(3.0, 4.0), (5.0, 5.0), (1.0, 2.0), (10.0, 20.0)]
 )
-def test_watch_that_was_swallowed_is_made_up_for_in_time(change, settling):
+def test_lost_watch_is_repeated_in_time(change, settling):
     """A connection goes silent right after a watch was sent over it.
 
     The watch is given up, and the next one, over a new connection, asks for an
@@ -174,23 +174,23 @@
     driver = Driver(make_target(1))
     driver.core.times = ReaderTimes.from_bounds(change, settling)
     call = driver.core.next_call(driver.now)
-    started = driver.now
+    began = driver.now
     driver.now = driver.core.answer_deadline(call, driver.now)
-    driver.lose_store()
+    driver.fail_call()
     driver.now = driver.tables.reader.call_at
     again = driver.core.next_call(driver.now)
     connect_and_answer = 0.6
     assert again.wait == 0.0
-    assert driver.now + connect_and_answer - started <= settling
+    assert driver.now + connect_and_answer - began <= settling
 
 
-def test_knowledge_counts_as_current_while_a_watch_waits():
+def test_state_counts_as_current_while_a_watch_waits():
     """A host that is well must be able to refuse an address without a route."""
     times = ReaderTimes.from_bounds(3.0, 60.0)
     assert times.wait < times.current
 
 
-def test_store_that_is_away_for_hours_does_not_end_the_process():
+def test_long_outage_of_the_store_does_not_crash_the_process():
     """The store is down for a night. Callers are served by what is known.
 
     Pauses that doubled without end would overflow after a thousand failures, a
@@ -201,11 +201,11 @@
         driver.now = max(driver.now, driver.tables.reader.call_at)
         call = driver.core.next_call(driver.now)
         driver.core.answer_deadline(call, driver.now)
-        driver.lose_store()
+        driver.fail_call()
     assert target_of(driver.caller(1).open()) == "i-1"
 
 
-def test_host_is_not_current_while_answers_stay_away():
+def test_host_is_not_current_without_answers():
     driver = Driver(make_target(1))
     times = driver.core.times
     assert is_current(driver.tables, times, driver.now)
@@ -213,7 +213,7 @@
     assert not is_current(driver.tables, times, driver.now)
 
 
-def test_answer_that_waited_shows_what_was_true_when_it_was_asked_for():
+def test_delayed_answer_confirms_the_state_at_its_request():
     """An answer lay in the socket while the host was frozen for five seconds."""
     driver = Driver(make_target(1))
     sent_at = driver.now
@@ -222,7 +222,7 @@
     assert not is_current(driver.tables, driver.core.times, driver.now)
 
 
-def test_watch_that_would_bring_too_much_is_followed_by_a_list():
+def test_watch_that_is_too_large_is_followed_by_a_list():
     """Many versions of a large configuration are accepted while one comes in.
 
     The next watch would bring each of them whole. The store is well, so the list
@@ -238,7 +238,7 @@
 
 
 @pytest.mark.parametrize("call", [ListEntries(), ReadPeer(0)])
-def test_list_or_copy_that_is_too_large_is_a_failure(call):
+def test_list_or_snapshot_that_is_too_large_is_a_failure(call):
     """A list, or a peer's copy, is larger than any answer that is taken.
 
     Nothing smaller can be asked for in its place. Taken for a watch that brings too
@@ -252,7 +252,7 @@
     assert driver.tables.reader.call_at > driver.now
 
 
-def test_only_answers_of_watches_are_bounded_and_by_the_link():
+def test_only_watch_answers_are_limited_by_the_link():
     """A list is the smallest way to learn everything: it is taken at any size."""
     driver = Driver(make_target(1))
     driver.core.times = ReaderTimes.from_bounds(4.0, SETTLING, link_rate=625e3)
@@ -260,7 +260,7 @@
     assert driver.core.largest_answer(ListEntries()) == math.inf
 
 
-def test_store_whose_lists_lead_to_lost_history_is_not_listed_without_a_pause():
+def test_repeated_loss_of_history_is_listed_with_backoff():
     """Each watch after a list is answered that history is lost, for seconds.
 
     Listing again at once, every host of a fleet costs the store forty calls a second.
@@ -274,7 +274,7 @@
     assert driver.now - began > 5.0
 
 
-def test_first_loss_of_history_is_made_up_for_at_once():
+def test_first_loss_of_history_is_listed_at_once():
     driver = Driver(make_target(1))
     began = driver.now
     for _ in range(2):
@@ -287,7 +287,7 @@
     assert driver.now - began < 2.0
 
 
-def test_pages_of_a_store_that_comes_back_between_them_are_not_put_together():
+def test_pages_from_before_and_after_a_restore_are_not_combined():
     """A store comes back from an older copy while it is listed page by page.
 
     Put together, its pages would take a target for gone that is on the first page of
--- a/tests/test_tokens/test_warmup.py
+++ b/tests/test_tokens/test_warmup.py
@@ -11,8 +11,13 @@
 from citronspring.tokens.messages import Forward
 from citronspring.tokens.peer_snapshot import decode_snapshot
 from tests.test_tokens.driver import ORDERS, Driver, make_target, target_of
-from tests.test_tokens.test_peer_snapshot import snapshot_of, started
-from tests.test_tokens.zone import ask, follower, leader, next_call
+from tests.test_tokens.test_peer_snapshot import restarted_host, snapshot_of
+from tests.test_tokens.zone import (
+    make_follower,
+    make_zone_reader,
+    next_call,
+    poll_reader,
+)
 
 
 def place(driver, ports):
@@ -20,7 +25,7 @@
     return [driver.caller(port, ORDERS).connect().target.target_id for port in ports]
 
 
-def test_cold_target_gets_nothing_while_another_is_warm():
+def test_target_in_warmup_gets_no_flow_while_another_is_warm():
     """A zone comes back with targets that are slow and hold no flow.
 
     By flows alone they are the least loaded: every host would give them its next ones,
@@ -32,7 +37,7 @@
     assert "i-2" in place(driver, range(30, 40))
 
 
-def test_cold_target_gets_nothing_while_the_warm_ones_are_full():
+def test_target_in_warmup_gets_no_flow_while_warm_ones_are_overloaded():
     """In a rush the warm targets leave openings unanswered, and seem silent."""
     driver = Driver(make_target(1), make_target(2), make_target(3, warmup=2.0))
     for port in range(UNREACHABLE_TIMEOUTS // 2):
@@ -45,17 +50,17 @@
             )
 
 
-def test_cold_targets_are_used_when_all_are_cold():
+def test_targets_in_warmup_are_used_when_all_are():
     driver = Driver(make_target(1, warmup=2.0), make_target(2, warmup=2.0))
     assert set(place(driver, range(4))) == {"i-1", "i-2"}
 
 
-def test_cold_target_is_used_when_the_warm_ones_leave():
+def test_target_in_warmup_is_used_when_the_warm_ones_drain():
     driver = Driver(make_target(1, leaving=True), make_target(2, warmup=2.0))
     assert set(place(driver, range(4))) == {"i-2"}
 
 
-def test_cold_target_is_used_when_the_warm_one_is_dead():
+def test_target_in_warmup_is_used_when_the_warm_one_crashed():
     """The only warm target has ended without a word; its entry is still there."""
     driver = Driver(make_target(1), make_target(2, warmup=9.0))
     tried = []
@@ -68,7 +73,7 @@
     assert tried == [*["i-1"] * UNREACHABLE_TIMEOUTS, "i-2"]
 
 
-def test_cold_targets_of_a_cut_zone_are_used():
+def test_targets_in_warmup_of_a_partitioned_zone_are_used():
     """The host's zone came back cold, and is cut off from the warm ones."""
     driver = Driver(
         make_target(1, warmup=20.0), make_target(2, "south"), make_target(3, "south")
@@ -80,48 +85,48 @@
     assert set(place(driver, range(20, 23))) == {"i-1"}
 
 
-def test_copies_hand_on_what_is_left_of_the_warmup():
+def test_snapshots_contain_the_remaining_warmup():
     """A copy is taken 1.5 s after the entry of a cold target was read."""
     peer = Driver(make_target(1, warmup=2.0), make_target(2))
     peer.now += 1.5
-    driver = started(Driver(make_target(2), now=peer.now))
+    driver = restarted_host(Driver(make_target(2), now=peer.now))
     driver.answer(snapshot_of(peer))
     assert set(place(driver, range(6))) == {"i-2"}
     driver.wait(0.6)
     assert "i-1" in place(driver, range(6, 12))
 
 
-def test_news_hand_on_what_is_left_of_the_warmup():
+def test_change_feed_contains_the_remaining_warmup():
     """A follower hears of a cold target later than its reader.
 
     Counted anew from there, the target would rest for longer than it is cold.
     """
-    reader = leader(make_target(2))
+    reader = make_zone_reader(make_target(2))
     after = reader.tables.reader.revision
     reader.change(make_target(1, warmup=2.0, revision=after + 1))
     reader.now += 1.5
-    driver = follower()
+    driver = make_follower()
     driver.now = reader.now
     next_call(driver)
-    driver.answer(ask_confirmed(reader, after))
+    driver.answer(poll_confirmed_reader(reader, after))
     left = driver.tables.targets["i-1"].warm_at - driver.now
     assert 0.4 <= left <= 0.6
 
 
-def ask_confirmed(reader, after):
+def poll_confirmed_reader(reader, after):
     reader.tables.reader.current_at = reader.now
-    return ask(reader, after)
+    return poll_reader(reader, after)
 
 
-def test_copy_of_a_warm_target_says_so():
+def test_snapshot_of_a_warm_target_has_no_warmup():
     peer = Driver(make_target(1, warmup=2.0))
     peer.now += 3.0
     status, body = peer.core.snapshot(peer.now)
-    copy = decode_snapshot(status, body)
-    assert copy.entries[0].warmup == 0.0
+    snapshot = decode_snapshot(status, body)
+    assert snapshot.entries[0].warmup == 0.0
 
 
-def test_target_that_was_dead_for_long_is_found_again():
+def test_target_that_recovers_after_long_is_used_again():
     """A target left many openings unanswered, and is back; others are warm.
 
     Were it left out for good, the others would carry its load for ever.
--- a/tests/test_tokens/test_zones.py
+++ b/tests/test_tokens/test_zones.py
@@ -7,21 +7,21 @@
 from tests.test_tokens.driver import Driver, make_target, reason_of, target_of
 
 
-def silent_opening(driver, port):
+def unanswered_opening(driver, port):
     """Open a flow that targets of zone north answer and others do not."""
     caller = driver.caller(port)
     first = caller.open()
     actions = [first]
     for _ in range(3):
         if actions and actions[-1].target.target.zone == "north":
-            caller.handle_store_answer(actions[-1].target)
+            caller.finish_handshake(actions[-1].target)
             break
         actions += driver.wait(0.031)
     return target_of(first)
 
 
 class TestResetIntoZone:
-    def test_flow_into_a_cut_zone_is_reset_after_one_repetition(self):
+    def test_flow_into_a_partitioned_zone_is_reset_after_one_retransmission(self):
         """Another zone is cut off; a host has one preview to each of its targets.
 
         No target has a second flow as a witness. Three silent targets of the zone,
@@ -33,15 +33,15 @@
         assert len(rows) == 3
         driver.now += 0.05
         for caller in callers:
-            caller.ask()
-        driver.prove_path()
+            caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
-        assert isinstance(callers[0].ask_again(), Forward)
-        assert isinstance(callers[1].ask_again(), Forward)
+        assert isinstance(callers[0].retransmit(), Forward)
+        assert isinstance(callers[1].retransmit(), Forward)
         driver.now += 0.06
-        assert reason_of(callers[2].ask_again()) is ResetReason.TARGET_UNREACHABLE
+        assert reason_of(callers[2].retransmit()) is ResetReason.TARGET_UNREACHABLE
 
-    def test_zone_whose_copies_have_had_no_time_is_not_lost_yet(self):
+    def test_zone_without_time_to_answer_is_not_unreachable_yet(self):
         """A burst fills the host's link for 20 ms; what goes to one zone is lost.
 
         Copies follow 200 ms later, all at once too. The zone's targets live, and have
@@ -53,13 +53,15 @@
             caller.connect()
         driver.now += 0.05
         for caller in callers:
-            caller.ask()
-        driver.prove_path()
+            caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
         for caller in callers:
-            assert isinstance(caller.ask_again(), Forward)
+            assert isinstance(caller.retransmit(), Forward)
 
-    def test_lone_flow_into_a_cut_zone_is_reset_after_two_copies(self):
+    def test_single_flow_into_a_partitioned_zone_is_reset_after_two_retransmissions(
+        self,
+    ):
         """Another zone is cut off; a host has a single preview to it.
 
         Nobody else speaks to that zone. After the second copy, 0.6 s after the
@@ -69,14 +71,14 @@
         caller = driver.caller(1)
         caller.connect()
         driver.now += 0.05
-        caller.ask()
-        driver.prove_path()
+        caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
-        assert isinstance(caller.ask_again(), Forward)
+        assert isinstance(caller.retransmit(), Forward)
         driver.now += 0.4
-        assert reason_of(caller.ask_again()) is ResetReason.TARGET_UNREACHABLE
+        assert reason_of(caller.retransmit()) is ResetReason.TARGET_UNREACHABLE
 
-    def test_two_copies_are_no_evidence_while_the_zone_answers(self):
+    def test_two_retransmissions_are_no_evidence_while_the_zone_answers(self):
         """Two copies of a request are lost; another target of the zone answers."""
         driver = Driver(*(make_target(number, "south") for number in (1, 2)))
         callers = [driver.caller(port) for port in range(2)]
@@ -84,15 +86,15 @@
             caller.connect()
         driver.now += 0.05
         for caller in callers:
-            caller.ask()
-        driver.prove_path()
+            caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.1
-        callers[1].take_response()
+        callers[1].acknowledge_answer()
         for pause in (0.1, 0.4, 0.8):
             driver.now += pause
-            assert isinstance(callers[0].ask_again(), Forward)
+            assert isinstance(callers[0].retransmit(), Forward)
 
-    def test_answer_from_the_zone_keeps_the_flows_of_its_silent_targets(self):
+    def test_answer_from_the_zone_keeps_flows_of_its_unresponsive_targets(self):
         """Three targets of another zone are silent for a moment; a fourth answers."""
         driver = Driver(*(make_target(number, "south") for number in (1, 2, 3, 4)))
         callers = [driver.caller(port) for port in range(4)]
@@ -100,17 +102,17 @@
             caller.connect()
         driver.now += 0.05
         for caller in callers:
-            caller.ask()
-        driver.prove_path()
+            caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
-        callers[0].ask_again()
-        callers[1].ask_again()
-        callers[3].take_response()
-        assert isinstance(callers[2].ask_again(), Forward)
+        callers[0].retransmit()
+        callers[1].retransmit()
+        callers[3].acknowledge_answer()
+        assert isinstance(callers[2].retransmit(), Forward)
 
 
 class TestZones:
-    def test_one_crashed_target_does_not_condemn_its_zone(self):
+    def test_one_crashed_target_does_not_make_its_zone_suspect(self):
         """One target of another zone has crashed; its neighbours are well.
 
         Its openings go unanswered. Were the whole zone avoided, the others would
@@ -118,14 +120,14 @@
         """
         driver = Driver(*(make_target(number, "south") for number in (1, 2, 3)))
         caller = driver.caller(1)
-        dead = target_of(caller.open())
+        crashed = target_of(caller.open())
         (second,) = driver.wait(0.031)
-        caller.handle_store_answer(second.target)
+        caller.finish_handshake(second.target)
         others = {target_of(driver.caller(port).open()) for port in range(2, 6)}
-        assert dead not in others
+        assert crashed not in others
         assert driver.tables.zones["south"].suspect_until <= driver.now
 
-    def test_silence_of_two_targets_makes_the_way_suspect(self):
+    def test_timeouts_of_two_targets_make_the_zone_suspect(self):
         """Another zone is cut off: openings to two of its targets go unanswered.
 
         New flows then go to targets in reach at once, without trying each of the
@@ -138,15 +140,15 @@
             make_target(4, "north"),
         )
         count_load(driver.tables.targets["i-4"], flows=1000)
-        silent_opening(driver, 1)
-        silent_opening(driver, 2)
+        unanswered_opening(driver, 1)
+        unanswered_opening(driver, 2)
         assert target_of(driver.caller(3).open()) == "i-4"
 
-    def test_answer_from_the_zone_clears_it(self):
+    def test_answer_from_the_zone_ends_the_suspicion(self):
         """The cut has healed: one answer from the zone ends the suspicion."""
         driver = Driver(*(make_target(number, "south") for number in (1, 2, 3)))
-        silent_opening(driver, 1)
-        silent_opening(driver, 2)
+        unanswered_opening(driver, 1)
+        unanswered_opening(driver, 2)
         assert driver.tables.zones["south"].suspect_until > driver.now
         driver.caller(3).connect()
         assert driver.tables.zones["south"].suspect_until == 0.0
--- a/tests/test_tokens/zone.py
+++ b/tests/test_tokens/zone.py
@@ -15,14 +15,14 @@
 STORE_CALL = 0.3
 
 
-def follower():
+def make_follower():
     """Return a host that has heard of its zone's reader."""
     driver = Driver(make_target(1))
     driver.change(READER)
     return driver
 
 
-def leader(*targets):
+def make_zone_reader(*targets):
     """Return the host that reads for the zone."""
     driver = Driver(*targets or (make_target(1),))
     driver.change(ZoneReader("north", "host-1", Endpoint("10.1.0.9", 8166), 2))
@@ -39,7 +39,7 @@
     return [log.number for log in driver.logs]
 
 
-def ask(driver, after):
+def poll_reader(driver, after):
     """Return what the reader answers a follower that waits for nothing."""
     poll = FeedPoll(after, driver.now, driver.now)
     return decode_answer(driver.core.answer_poll(poll, driver.now))
