--- a/citronspring/tokens/evidence.py
+++ b/citronspring/tokens/evidence.py
@@ -1,9 +1,10 @@
-"""What callers' packets tell about targets, whose answers pass this host by.
+"""Passive failure detection: what callers' packets show about targets.
 
-A caller's first packet after its opening shows that a target answered the opening,
-and its acknowledgement moves only when the target sends bytes. Silence counts
-against a target until the next answer; silence of several targets of another zone
-counts against the way to that zone.
+Answers of targets bypass this host, so only the callers' side of a flow is visible. A
+caller's first packet after its opening shows that a target answered the opening, and
+its acknowledgement number advances only when the target sends bytes. Missing answers
+count against a target until its next answer; missing answers of several targets of
+another zone count against the network path to that zone.
 """
 
 from __future__ import annotations
@@ -19,73 +20,75 @@
     from citronspring.tokens.rows import FlowRow, TargetRow
     from citronspring.tokens.tables import Tables
 
-#: Seconds for which a target is avoided after its first unanswered packet; doubled
-#: with each further one. Half a second costs a healthy target, taken for silent
-#: after one lost datagram, a few openings.
+#: Seconds for which a target is avoided after its first time-out; doubled with each
+#: further one. A healthy target that is avoided for half a second, because of one lost
+#: datagram, misses only a few new flows.
 INITIAL_AVOIDANCE = 0.5
 
-#: Longest avoidance in seconds: a target that is back is found again within this
-#: time, by one opening that is sent elsewhere too when it stays unanswered.
+#: Upper bound of the avoidance in seconds. A recovered target is found within this time
+#: by one opening, which is sent to another target as well if it stays unanswered.
 MAX_AVOIDANCE = 4.0
 
-#: Doublings after which the longest is reached. Counted without end, a target that
-#: stays silent for minutes would overflow the power and end the process.
+#: Number of doublings that reaches the upper bound. Without this limit, a target that
+#: stays unresponsive for minutes would overflow the power and crash the process.
 MAX_DOUBLINGS = 3
 
-#: Silent targets of one zone, none of which answered since, that make its whole
-#: way suspect. One crashed target alone must not: its zone's others are well.
+#: Number of unresponsive targets of one zone, none of which has answered since, that
+#: makes its whole network path suspect. One target is not enough: it may have crashed
+#: while the rest of its zone is healthy.
 SUSPECT_ZONE_TARGETS = 2
 
 #: Seconds for which a zone stays suspect without further evidence.
 ZONE_SUSPECT_SECONDS = 1.0
 
-#: Seconds without an answer from a suspect zone after which its targets are taken to be
-#: out of reach, though they may be the only warm ones.
+#: Seconds without an answer from a suspect zone after which its targets count as
+#: unreachable, even if they are the only ones that have warmed up.
 ZONE_UNREACHABLE_SECONDS = 1.0
 
-#: Openings and requests in a row that a target leaves unanswered when it is out of
-#: reach and not just full.
+#: Number of consecutive time-outs of openings and requests at which a target counts as
+#: unreachable rather than overloaded.
 UNREACHABLE_TIMEOUTS = 8
 
-#: Flows whose requests were sent again to a target, without an answer between, that
-#: show it to be out of reach. A target acknowledges bytes at once, however slow its
-#: work is, so that callers do not send again. So one means lost datagrams or a lost
-#: target, and a second one is no accident. Copies of one
-#: request count once: datagrams are lost in bursts, and a target that was well has
-#: answered the third copy after two were lost. Openings are no evidence of this: a
-#: full target leaves them unanswered too, and a caller that is gone answers nothing,
-#: while open flows go on.
+#: Number of flows that retransmitted a request to a target, without an answer in
+#: between, that shows that it is unreachable. A target acknowledges bytes immediately,
+#: however slowly it works, so callers need not retransmit. One retransmission means a
+#: lost datagram or an unreachable target; a second one is unlikely to be chance.
+#: Retransmissions of one request count once: datagrams are lost in bursts, and a
+#: healthy target has answered the third copy of a request after two were lost. Openings
+#: are not counted: an overloaded target leaves them unanswered while its open flows go
+#: on, and so does a caller that has disappeared.
 UNREACHABLE_FLOWS = 2
 
-#: Seconds within which a target in reach has answered the copy of a request, several
-#: round trips of 8 ms. Requests of two flows that went out together may be lost
-#: together while the host's link is full for a moment; the copy follows 200 ms later.
+#: Seconds within which a reachable target answers a retransmission; several round trips
+#: of 8 ms. Requests of two flows that were sent at the same time may be lost together
+#: while the host's link is saturated; they are retransmitted 200 ms later.
 RETRANSMISSION_ACK_TIMEOUT = 0.05
 
-#: Silent targets of another zone, with no answer from that zone since, that make a
-#: flow to one of them hopeless once its request was sent again.
+#: Number of unresponsive targets of another zone, without an answer from that zone
+#: since, that makes a flow to one of them unrecoverable after one retransmission.
 UNREACHABLE_ZONE_TARGETS = 3
 
-#: Copies of a request to another zone, with no answer from that zone since it was
-#: sent, that do the same. A host with few flows to a zone that is cut off has no other
-#: witness. Two losses in a row come once in 25 million requests on links that lose one
-#: datagram of 5,000.
+#: Number of retransmissions of one request to another zone, without an answer from that
+#: zone since it was sent, that has the same effect. A host with few flows to a
+#: partitioned zone has no other evidence. Two consecutive losses occur once in 25
+#: million requests on links that lose one datagram of 5,000.
 UNREACHABLE_ZONE_RETRANSMISSIONS = 2
 
-#: Seconds for which evidence lasts. Two lost datagrams further apart are a coincidence
-#: that a busy host meets. While a target counts as out of reach, requests on its flows
-#: are reset at once, and tried elsewhere within their objective, where waiting for
-#: each one's repetition would cost 200 ms. A cut that has healed is noticed after this
-#: time at the latest.
+#: Seconds for which evidence is valid. Two lost datagrams further apart are a
+#: coincidence that a busy host encounters. While a target counts as unreachable,
+#: requests of its flows are reset immediately and can be retried elsewhere within their
+#: objective; waiting for a retransmission of each would cost 200 ms. The end of a
+#: partition is noticed after this time at the latest.
 EVIDENCE_LIFETIME = 1.0
 
-#: Seconds after its entry left the store from which a target counts as gone for
-#: good. Entries that lapsed with the store away are back two seconds after it.
+#: Seconds after the removal of a target's entry until the removal counts as final.
+#: Entries whose leases expired during an outage of the store are rewritten within two
+#: seconds after it.
 REMOVAL_GRACE = 2.5
 
 
 def note_answer(tables: Tables, row: TargetRow, sent_at: float, now: float) -> None:
-    """Take that a target has answered what was sent to it at a time."""
+    """Record that a target has answered what was sent to it at ``sent_at``."""
     note_answered_request(tables.local_path, row, sent_at, now)
     row.answered_at = now
     row.unanswered_since = INFINITY
@@ -101,7 +104,7 @@
 
 
 def note_timeout(tables: Tables, row: TargetRow, sent_at: float, now: float) -> None:
-    """Take that an opening or request sent at a time has stayed without an answer."""
+    """Record that an opening or request sent at ``sent_at`` has timed out."""
     if sent_at < row.answered_at:
         return
     row.unanswered_since = min(row.unanswered_since, sent_at)
@@ -114,7 +117,7 @@
 
 
 def note_retransmission(tables: Tables, flow: FlowRow, now: float) -> None:
-    """Take that a request was sent again, as nothing acknowledged it."""
+    """Record that a caller retransmitted a request that was not acknowledged."""
     row = flow.target
     flow.retransmissions += 1
     note_timeout(tables, row, flow.first_sent_at, now)
@@ -135,7 +138,7 @@
 
 
 def update_zone_suspicion(tables: Tables, row: TargetRow, now: float) -> None:
-    """Suspect the way to a target's zone when several of its targets are silent."""
+    """Mark a zone as suspect if several of its targets are unresponsive."""
     zone = tables.zone_row(row.target.zone)
     zone.unresponsive_targets = sum(
         other.timeouts > 0 and other.unanswered_since > zone.answered_at
@@ -147,7 +150,7 @@
 
 
 def is_avoided(tables: Tables, row: TargetRow, now: float) -> bool:
-    """Whether new flows rather go elsewhere."""
+    """Whether new flows should go to other targets."""
     if row.avoid_until > now:
         return True
     zone = tables.zones.get(row.target.zone)
@@ -155,10 +158,10 @@
 
 
 def seems_unreachable(tables: Tables, row: TargetRow, now: float) -> bool:
-    """Whether a target has been silent for so long that it is not just full.
+    """Whether a target has been unresponsive for longer than overload explains.
 
-    A full target leaves openings unanswered too, and a rush makes a whole zone suspect
-    for a moment.
+    An overloaded target leaves openings unanswered too, and a burst makes a whole zone
+    suspect for a moment.
     """
     if row.unreachable_until > now or row.timeouts >= UNREACHABLE_TIMEOUTS:
         return True
@@ -169,10 +172,10 @@
 
 
 def is_removal_confirmed(tables: Tables, row: TargetRow, now: float) -> bool:
-    """Whether the store has been without the target's entry for long enough.
+    """Whether the target's entry has been missing for long enough to be final.
 
-    A store that has just come back from an older copy may have lost the entry that the
-    target had written again.
+    A store that was just restored from a backup may lack the entry until the target has
+    rewritten it.
     """
     if tables.restore_grace.awaits_targets:
         return False
@@ -182,19 +185,19 @@
 
 
 def is_confirmed_unreachable(tables: Tables, flow: FlowRow, now: float) -> bool:
-    """Whether a flow's target is out of reach beyond what loss or load explains.
-
-    A false reset breaks a flow that would have gone on, while silence only costs
-    time. A request that was sent again may have been lost with its copies while the
-    target is well; so the requests of two flows, or all that went to another zone, must
-    have stayed without an answer. Where only other flows were repeated, the belief soon
-    needs new evidence: a target that is in reach again would answer the next request.
-    What a host has not seen itself, the hosts of its zone may have seen together; see
+    """Whether a flow's target is unreachable beyond what loss or overload explains.
+
+    A wrong reset breaks a flow that would have continued, while waiting only costs
+    time. A request and its retransmissions may be lost while the target is healthy.
+    Therefore the requests of two flows, or all requests to another zone, must have gone
+    unanswered. Where only other flows retransmitted, the evidence expires soon, since a
+    target that is reachable again would answer the next request. Evidence that no host
+    has by itself can be combined by the hosts of a zone, see
     `citronspring.tokens.inquiry`.
 
-    All of that is seen on every target at once when the host's own link is full. So
-    answers of other targets must show that packets get out and back. Without that,
-    bursts of callers on small links end the flows of targets that are well.
+    When the host's own link is saturated, all of this is seen for every target at once.
+    Answers of other targets must therefore show that packets leave and reach this host.
+    Without that check, bursts of callers on small links reset flows of healthy targets.
     """
     row = flow.target
     if row.unreachable_until > now and local_path_works(
@@ -212,7 +215,7 @@
 
 
 def is_unreachable_with_zone(tables: Tables, flow: FlowRow, now: float) -> bool:
-    """Whether a target is silent with its whole zone, which must be cut off."""
+    """Whether a target is unresponsive because its whole zone is partitioned."""
     row = flow.target
     zone = tables.zones.get(row.target.zone)
     if zone is None or row.target.zone == tables.zone:
@@ -221,7 +224,8 @@
         return False
     if flow.retransmissions >= UNREACHABLE_ZONE_RETRANSMISSIONS:
         return True
-    # What went out at one moment may have been lost at one moment, see `RETRANSMISSION_ACK_TIMEOUT`.
+    # Requests sent at the same moment may be lost together, see
+    # `RETRANSMISSION_ACK_TIMEOUT`.
     overdue = now - zone.first_retransmitted_at >= RETRANSMISSION_ACK_TIMEOUT
     several = zone.unresponsive_targets >= UNREACHABLE_ZONE_TARGETS
     return overdue and several and zone.suspect_until > now
--- a/citronspring/tokens/inquiry.py
+++ b/citronspring/tokens/inquiry.py
@@ -1,14 +1,16 @@
-"""What a zone knows together of targets that have died without a sign.
-
-In a large fleet a host sees a request of a given target once in half a minute, so the
-two witnesses that make a loss certain almost never meet at one host. Hosts therefore
-report each request that was sent again in vain to the reader of their zone. Once
-several have reported a target, the reader asks all hosts whether it has answered any of
-them since; if most reply, and none of them knows of an answer, it is lost for all.
-
-A host that is wrong cannot bring a reset about. Its link may be full, or it may have
-stood still: then others have heard of the target, or do not reply in time. Who acts on
-a verdict checks that it has heard nothing since either, and that its own path works.
+"""Zone-wide detection of targets that have crashed.
+
+In a large fleet a host sees a request to a given target about once in half a minute, so
+the two retransmissions that confirm a failure almost never occur at one host. Hosts
+therefore report each unacknowledged retransmission to their zone reader. Once several
+hosts have reported a target, the zone reader asks all hosts of the zone whether it has
+answered any of them since. If most of them reply, and none has seen an answer, all
+hosts treat the target as unreachable.
+
+A host with wrong observations cannot cause a reset. Its link may be saturated, or its
+process may have stalled: then other hosts have seen an answer of the target, or do not
+reply in time. A host that acts on a verdict also checks that it has seen no answer
+since, and that its own path works.
 """
 
 from __future__ import annotations
@@ -35,42 +37,43 @@
     from citronspring.tokens.suspicions import HostMessage
     from citronspring.tokens.tables import InquiryState, Tables
 
-#: Requests of different flows, sent again in vain, that make the reader ask, and the
-#: hosts that must have seen them. So many in a row, with no answer between, are no
-#: chance even where links lose one datagram of twenty.
+#: Number of retransmitted requests of different flows that starts an inquiry, and the
+#: number of hosts that must have seen them. As many in a row, without an answer in
+#: between, are no chance even on links that lose one datagram of twenty.
 MIN_WITNESSES = 4
 MIN_WITNESS_HOSTS = 2
 
-#: Seconds for which a report counts.
+#: Seconds for which a report is valid.
 REPORT_LIFETIME = 1.0
 
-#: Seconds that the reader waits for replies: fifty times the way within a zone, and
-#: as long as a busy host takes for a turn.
+#: Seconds that the zone reader waits for replies: fifty times the latency within a
+#: zone, and as long as an event-loop iteration of a busy host.
 REPLY_TIMEOUT = 0.1
 
-#: Seconds until the reader asks about the same target again.
+#: Seconds until the zone reader asks about the same target again.
 INQUIRY_PAUSE = 0.3
 
-#: Share of the hosts asked that must reply. A reader that is half cut off, or whose
-#: link is full, hears from fewer and believes nothing.
+#: Share of the queried hosts that must reply. A zone reader that is partly partitioned,
+#: or whose link is saturated, hears from fewer and issues no verdict.
 QUORUM = 2 / 3
 
-#: Seconds within which a host that has asked for news counts as one of the zone.
+#: Seconds after a host's last poll of the change feed for which it counts as a member
+#: of the zone.
 MEMBER_TIMEOUT = 6.0
 
-#: Targets that had answered after all, in the last seconds, from which on reports are
-#: put down to lossy links and believed no more; and their share of those that nobody
-#: had heard, up to which they are not. Where many targets die at once, some have
-#: answered just before, and the others are no less dead.
+#: Number of targets whose suspicion was refuted within the window at which reports are
+#: attributed to lossy links and no longer trusted, and the share of unrefuted
+#: suspicions up to which they still are. If many targets crash at once, some have
+#: answered just before; the others are down nevertheless.
 MAX_REFUTATIONS = 2
 REFUTED_RATIO = 0.25
 REFUTATION_WINDOW = 3.0
 
-#: Seconds by which what was sent is taken to be older than the message says: its way
-#: and a turn of either process.
+#: Margin in seconds that is added to the age in a message, for its transfer and an
+#: event-loop iteration of either process.
 AGE_MARGIN = 0.02
 
-#: Seconds for which a target counts as lost after a verdict.
+#: Seconds for which a target counts as unreachable after a verdict.
 VERDICT_LIFETIME = 2.0
 
 
@@ -78,7 +81,7 @@
 
 
 def report_suspicions(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Hand on what was sent again in vain since the last turn."""
+    """Report the unacknowledged retransmissions since the last event-loop iteration."""
     fresh = tables.suspected
     if not fresh:
         return
@@ -104,20 +107,20 @@
 def handle_host_message(
     tables: Tables, message: HostMessage, source: str, now: float, actions: list[Action]
 ) -> None:
-    """Take what another host of the zone says.
+    """Handle a message from another host of the zone.
 
     Parameters
     ----------
     tables : Tables
         All state.
     message : HostMessage
-        What it says.
+        The message.
     source : str
-        Address that it came from.
+        Address of the sender.
     now : float
-        Seconds.
+        Current time in seconds.
     actions : list of Action
-        Takes what is to be done.
+        Receives the resulting actions.
     """
     reader = tables.zone_readers.get(tables.zone)
     from_reader = reader is not None and source == reader.endpoint.ip
@@ -132,16 +135,17 @@
             for suspicion in message.suspicions:
                 apply_verdict(tables, suspicion, now, actions)
         case _:
-            # Who has just become the reader, or was it, is not agreed on yet.
+            # While the zone reader changes, hosts may disagree on which one it is.
             tables.counters["host-messages-unused"] += 1
 
 
 def reply_to_inquiry(
     tables: Tables, inquiry: Inquiry, reader: str, now: float, actions: list[Action]
 ) -> None:
-    """Tell the reader which targets have answered here.
+    """Reply to the zone reader with the targets that have answered here.
 
-    A host that stood still has perhaps not read their answers, and says nothing.
+    A host whose process has stalled may not have read their answers yet, so it does not
+    reply.
     """
     oldest = max((one.age for one in inquiry.suspicions), default=0.0)
     if now - oldest - AGE_MARGIN <= tables.local_path.disturbed_at:
@@ -155,13 +159,13 @@
 
 
 def find_row(tables: Tables, incarnation: int) -> TargetRow | None:
-    """Return the row of a start of a target."""
+    """Return the row of a target by its incarnation, None if it is unknown."""
     row = tables.by_token.get(token_of(incarnation))
     return row if row is not None and row.target.incarnation == incarnation else None
 
 
 def has_answered(tables: Tables, incarnation: int, since: float) -> bool:
-    """Whether anything that a target sent since then has shown here."""
+    """Whether a packet has shown an answer of the target since then."""
     row = find_row(tables, incarnation)
     return row is not None and row.answered_at >= since
 
@@ -169,9 +173,9 @@
 def apply_verdict(
     tables: Tables, suspicion: Suspicion, now: float, actions: list[Action]
 ) -> None:
-    """Take that no host of the zone has heard of a target, unless this one has.
+    """Mark a target as unreachable unless this host has seen an answer since.
 
-    What was said of an earlier start of it counts for nothing.
+    A verdict on another incarnation of the target is ignored.
     """
     row = find_row(tables, suspicion.incarnation)
     since = now - suspicion.age - AGE_MARGIN
@@ -188,17 +192,17 @@
     actions.append(Log(TARGET_LOST.number, fields))
 
 
-# At the zone's reader ---------------------------------------------------------------
+# At the zone reader -----------------------------------------------------------------
 
 
 def note_member(tables: Tables, host: str, now: float) -> None:
-    """Take that a host of the zone has asked for news."""
+    """Record that a host of the zone has polled the change feed."""
     if host:
         tables.inquiry.members[host] = now
 
 
 def record_report(tables: Tables, report: Report, host: str, now: float) -> None:
-    """Keep what a host reports."""
+    """Store the suspicions that a host reports."""
     for suspicion in report.suspicions:
         witness = Witness(host, now - suspicion.age, now)
         witnesses = tables.inquiry.witnesses
@@ -206,7 +210,7 @@
 
 
 def record_reply(tables: Tables, reply: Reply, host: str) -> None:
-    """Take a host's reply to the question that is being asked."""
+    """Record a host's reply to the open inquiry."""
     inquiry = tables.inquiry.open
     if inquiry is None or inquiry.number != reply.number:
         return
@@ -216,7 +220,7 @@
 
 
 def advance_inquiry(tables: Tables, now: float, actions: list[Action]) -> None:
-    """End the question that is being asked, and ask the next one if there is one."""
+    """Finish the open inquiry if it is complete, and start the next one if needed."""
     state = tables.inquiry
     inquiry = state.open
     if inquiry is not None:
@@ -229,12 +233,12 @@
 
 
 def next_inquiry_deadline(state: InquiryState) -> float:
-    """Return the time at which a question ends, infinite while none is asked."""
+    """Return the deadline of the open inquiry, infinite if there is none."""
     return state.open.deadline if state.open is not None else INFINITY
 
 
 def begin_inquiry(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Ask all hosts of the zone about the targets that several have reported."""
+    """Ask all hosts of the zone about targets that several hosts have reported."""
     state = tables.inquiry
     forget_witnesses(state, now)
     since = {
@@ -262,7 +266,7 @@
 
 
 def forget_witnesses(state: InquiryState, now: float) -> None:
-    """Let go of reports that count no more."""
+    """Remove reports that have expired."""
     for incarnation, witnesses in list(state.witnesses.items()):
         fresh = [one for one in witnesses if now - one.heard_at <= REPORT_LIFETIME]
         if fresh:
@@ -273,33 +277,34 @@
 
 
 def has_enough_witnesses(witnesses: list[Witness]) -> bool:
-    """Whether enough requests were sent again, at enough hosts."""
+    """Whether there are enough reports from enough hosts."""
     hosts = {one.host for one in witnesses}
     return len(witnesses) >= MIN_WITNESSES and len(hosts) >= MIN_WITNESS_HOSTS
 
 
 def unresponsive_since(witnesses: list[Witness]) -> float:
-    """Return since when a target must have been silent: so many requests are as new.
+    """Return the time since which a target must have been unresponsive.
 
-    An answer between them shows that the older ones were lost on their way.
+    That is when the oldest of the required number of newest requests was sent. An
+    answer after older ones shows that those were lost on the network.
     """
     return sorted(one.sent_at for one in witnesses)[-MIN_WITNESSES]
 
 
 def suspicions_of(since: dict[int, float], now: float) -> tuple[Suspicion, ...]:
-    """Return targets with the seconds since they fell silent."""
+    """Return suspicions with the seconds since the targets became unresponsive."""
     return tuple(Suspicion(number, now - at) for number, at in since.items())
 
 
 def has_quorum(inquiry: OpenInquiry) -> bool:
-    """Whether so many hosts have replied that the question came through."""
+    """Whether enough hosts have replied to show that the inquiry reached the zone."""
     return len(inquiry.replied) >= max(QUORUM * len(inquiry.members), 1)
 
 
 def conclude(
     tables: Tables, inquiry: OpenInquiry, now: float, actions: list[Action]
 ) -> None:
-    """Tell all hosts which targets are lost, if the replies show it."""
+    """Send a verdict on the targets that the replies show to be unreachable."""
     state = tables.inquiry
     refuted = {
         incarnation
@@ -329,7 +334,7 @@
 
 
 def note_refutations(state: InquiryState, refuted: set[int], now: float) -> None:
-    """Take that targets had answered after all; their reports count no more."""
+    """Record refuted suspicions, and discard the reports behind them."""
     for incarnation in refuted:
         state.witnesses.pop(incarnation, None)
         state.refuted_at.append(now)
@@ -338,7 +343,7 @@
 
 
 def is_conclusive(tables: Tables, inquiry: OpenInquiry, now: float) -> bool:
-    """Whether silence of the hosts shows anything now."""
+    """Whether missing answers at the other hosts are evidence."""
     state = tables.inquiry
     state.unrefuted_at = {
         incarnation: unrefuted_at
@@ -362,9 +367,9 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Tell the hosts that were asked, and this one, which targets are lost."""
+    """Send the verdict to the queried hosts, and apply it here."""
     for incarnation in unreachable:
-        # To believe it for longer takes newer reports.
+        # Extending the verdict takes new reports.
         tables.inquiry.witnesses.pop(incarnation, None)
     suspicions = suspicions_of(unreachable, now)
     actions += [Tell(host, Verdict(suspicions)) for host in inquiry.members]
--- a/citronspring/tokens/local_path.py
+++ b/citronspring/tokens/local_path.py
@@ -1,9 +1,9 @@
-"""Whether this host's own way to targets and back works.
+"""Whether this host's own link, socket and processor work.
 
-Packets that wait or are lost at the host's own link, in its socket or while it has no
-processor are late for all targets at once, and look like silence of each of them. So
-what counts as certain of a target needs a control: in the same span, packets of this
-host to other targets were answered, and few were lost.
+Packets that are delayed or lost at the host's own link, in its socket, or while it gets
+no processor time are late for all targets at once, which looks like a time-out of each
+target. A conclusion about one target therefore needs a control: in the same period,
+packets of this host to other targets were answered, and few were lost.
 """
 
 from __future__ import annotations
@@ -15,23 +15,25 @@
     from citronspring.tokens.rows import LocalPath, TargetRow
     from citronspring.tokens.tables import Tables
 
-#: Seconds for which answers and repetitions are kept. A queue of half a second on the
-#: host's link shows in it; a caller's first three copies come within 1.4 s.
+#: Seconds for which answers and retransmissions are kept. The window is long enough to
+#: show a queue of half a second on the host's link; a caller's first three
+#: retransmissions are sent within 1.4 s.
 WINDOW = 2.0
 
-#: Answers of other targets to packets sent after the one that stayed unanswered. One
-#: may be chance: at a link that drops half of what it should carry, half gets through.
+#: Required number of answers of other targets to packets sent after the unanswered one.
+#: One answer may be chance: if a link drops half of its packets, the other half gets
+#: through.
 MIN_CONTROL_ANSWERS = 2
 
-#: Share of the other requests that may have been sent again meanwhile, relative to what
-#: was answered. A seventh of the targets may have crashed at once; a link that drops a
-#: fifth of what it should carry loses two copies in a row by the dozen.
+#: Largest ratio of retransmitted requests to answers, for other targets in the same
+#: period. It tolerates that a seventh of the targets have crashed at once. A link that
+#: drops a fifth of its packets loses two copies of a request in a row dozens of times.
 MAX_LOSS_RATIO = 0.25
 
-#: Requests lost on ways that work, within the window, from which on the host's own path
-#: is lossy, and their share of what was answered. Calm links lose one datagram of
-#: 5,000, so that two in a window are rare; while links between zones lose 3 of 100
-#: nothing is certain.
+#: Number of requests lost on working paths within the window at which the host's own
+#: path counts as lossy, and their ratio to the answers. Healthy links lose one datagram
+#: of 5,000, so that two losses within a window are rare. While links between zones lose
+#: 3 of 100, no conclusion about a target is certain.
 MIN_LOSSES = 2
 LOSSY_RATIO = 0.01
 
@@ -39,7 +41,7 @@
 def note_answered_request(
     path: LocalPath, row: TargetRow, sent_at: float, now: float
 ) -> None:
-    """Take that a target has answered what was sent to it at a time."""
+    """Record that a target has answered what was sent to it at ``sent_at``."""
     path.answers.append(AnsweredRequest(row, sent_at, now))
     while path.answers[0].answered_at < now - WINDOW:
         path.answers.popleft()
@@ -48,16 +50,16 @@
 def note_retransmitted_request(
     path: LocalPath, row: TargetRow, sent_at: float, now: float
 ) -> None:
-    """Take that a request that was sent to a target at a time was sent again."""
+    """Record that a request sent to a target at ``sent_at`` was retransmitted."""
     path.retransmissions.append(RetransmittedRequest(row, sent_at, now))
     while path.retransmissions[0].retransmitted_at < now - WINDOW:
         path.retransmissions.popleft()
 
 
 def note_disturbance(path: LocalPath, now: float) -> None:
-    """Take that the host stood still, or could not send.
+    """Record that the host stalled or failed to send.
 
-    What it sent or received before may have been lost here.
+    What it sent or received before that may have been lost here.
     """
     path.disturbed_at = now
 
@@ -70,20 +72,21 @@
     *,
     whole_zone: bool = False,
 ) -> bool:
-    """Whether a target's silence cannot be the host's own doing.
+    """Whether a target's time-out cannot be caused by this host.
 
     Parameters
     ----------
     tables : Tables
         All state.
     row : TargetRow
-        The silent target.
+        The unresponsive target.
     since : float
-        When the packet went out that stayed unanswered.
+        Time at which the unanswered packet was sent.
     now : float
-        Seconds.
+        Current time in seconds.
     whole_zone : bool
-        Whether the other targets of its zone are silent too, and tell nothing.
+        Whether the other targets of its zone are unresponsive too, so that they are
+        no control.
     """
     path = tables.local_path
     if since <= path.disturbed_at or is_lossy(path, now):
@@ -110,21 +113,21 @@
 
 
 def zone_answers(tables: Tables, repeated: RetransmittedRequest, since: float) -> bool:
-    """Whether the zone of a request's target has answered what was sent since.
+    """Whether the zone of a request's target has answered anything sent since then.
 
-    A host whose own zone is cut off loses all that it sends to the others, which says
-    nothing of its link.
+    A host whose own zone is partitioned loses everything that it sends to other zones,
+    which says nothing about its link.
     """
     zone = tables.zones.get(repeated.target.target.zone)
     return zone is not None and zone.answered_sent_at > since
 
 
 def is_lossy(path: LocalPath, now: float) -> bool:
-    """Whether packets were lost, in the last seconds, on ways that work.
+    """Whether packets were recently lost on paths that work.
 
-    A target that has answered since a request to it was sent again is there: the
-    request was lost on its way. Of a target that has died, or whose zone is cut off,
-    nothing is heard again.
+    A target that has answered after a retransmission is reachable, so the request was
+    lost on the network. A target that has crashed, or whose zone is partitioned,
+    answers nothing any more.
     """
     losses = sum(
         one.target.answered_at > one.retransmitted_at >= now - WINDOW
--- a/citronspring/tokens/suspicions.py
+++ b/citronspring/tokens/suspicions.py
@@ -1,7 +1,7 @@
-"""What hosts of a zone tell each other about targets that may be lost.
+"""Messages between hosts of a zone about targets that may be unreachable.
 
-As text between hosts: one JSON object a datagram. Times travel as ages, since hosts
-share no clock.
+Each message is one JSON object in a datagram. Times are sent as ages, since hosts have
+no common clock.
 """
 
 from __future__ import annotations
@@ -13,21 +13,22 @@
 if TYPE_CHECKING:
     from typing import Any
 
-#: Targets in one datagram at most; at some 35 bytes each it stays one packet.
+#: Largest number of targets in one datagram; at some 35 bytes each it fits into one
+#: packet.
 MAX_SUSPICIONS = 30
 
-#: What decoding raises when a message has another shape.
+#: Errors that decoding raises for a message of another shape.
 DECODE_ERRORS = (AttributeError, IndexError, KeyError, TypeError, ValueError)
 
-#: Longest age in seconds that means anything; what is older is no evidence.
+#: Largest valid age in seconds; anything older is no evidence.
 MAX_AGE = 60.0
 
 
 @record(eq=True)
 class Suspicion:
-    """A target that has left a request without an acknowledgement."""
+    """A target that has not acknowledged a request."""
 
-    #: Which start of which target.
+    #: The incarnation of the target.
     incarnation: int
     #: Seconds since that request was first sent.
     age: float
@@ -35,14 +36,14 @@
 
 @record(eq=True)
 class Report:
-    """A host tells the reader of requests that were sent again in vain."""
+    """From a host to the zone reader: requests retransmitted without an answer."""
 
     suspicions: tuple[Suspicion, ...]
 
 
 @record(eq=True)
 class Inquiry:
-    """The reader asks all hosts of the zone whether these targets have answered."""
+    """From the zone reader to all hosts: asks whether these targets have answered."""
 
     number: int
     suspicions: tuple[Suspicion, ...]
@@ -50,7 +51,7 @@
 
 @record(eq=True)
 class Reply:
-    """A host tells the reader which of them have answered it since."""
+    """From a host to the zone reader: the targets that have answered it since."""
 
     number: int
     answered: tuple[int, ...]
@@ -58,7 +59,7 @@
 
 @record(eq=True)
 class Verdict:
-    """The reader tells all hosts that nobody has heard of these targets since."""
+    """From the zone reader to all hosts: these targets have answered no host."""
 
     suspicions: tuple[Suspicion, ...]
 
@@ -67,7 +68,7 @@
 
 
 def encode_message(message: HostMessage) -> bytes:
-    """Return a message as it is sent."""
+    """Return a message as a datagram."""
     match message:
         case Report():
             body: dict[str, Any] = {"report": encode_suspicions(message.suspicions)}
@@ -84,12 +85,12 @@
 
 
 def encode_suspicions(suspicions: tuple[Suspicion, ...]) -> list[list[float]]:
-    """Return suspicions as plain values."""
+    """Return suspicions as JSON-compatible values."""
     return [[one.incarnation, round(one.age, 4)] for one in suspicions]
 
 
 def decode_message(data: bytes) -> HostMessage | None:
-    """Return the message in a datagram, None if it holds none."""
+    """Return the message in a datagram, None if it holds no valid one."""
     try:
         body = loads(data)
         if "report" in body:
@@ -101,16 +102,16 @@
             return Reply(int(body["reply"]), answered)
         return Verdict(decode_suspicions(body["verdict"]))
     except DECODE_ERRORS:
-        # Counted by who reads the socket; its sender is of another release, or none
-        # of the system's hosts.
+        # The caller counts it. Its sender runs another release or is not a host of this
+        # system.
         return None
 
 
 def decode_suspicions(rows: list[Any]) -> tuple[Suspicion, ...]:
-    """Return suspicions from plain values; raises one of `DECODE_ERRORS`."""
+    """Return suspicions from their encoded values; raise one of `DECODE_ERRORS`."""
     found = []
     for incarnation, age in rows[:MAX_SUSPICIONS]:
         if not 0.0 <= age <= MAX_AGE:
-            raise ValueError(f"{age!r} is no age of a suspicion")
+            raise ValueError(f"invalid age of a suspicion: {age!r}")
         found.append(Suspicion(int(incarnation), float(age)))
     return tuple(found)
--- a/tests/test_tokens/test_evidence.py
+++ b/tests/test_tokens/test_evidence.py
@@ -1,4 +1,4 @@
-"""What counts as a sign that a target is lost, and what follows."""
+"""Tests of failure detection: evidence against targets, and its effects."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def retransmit_two_requests(driver):
-    """Have two flows send their requests again in vain; return a third, idle one."""
+    """Let two flows retransmit their requests; return a third, idle one."""
     callers = [driver.caller(port) for port in range(3)]
     for caller in callers:
         caller.connect()
@@ -23,11 +23,11 @@
 
 class TestReordering:
     def test_reordered_bytes_are_no_retransmission(self):
-        """An upload's packets overtake each other on the way to the host.
+        """Packets of an upload arrive at the host out of order.
 
-        The caller sends sixteen packets at once; they arrive out of order within
-        milliseconds. Taken for repetitions, each large upload would count as
-        silence of its target, and flows of targets that are well would be reset.
+        The caller sends sixteen packets at once, and they are reordered within
+        milliseconds. Taken for retransmissions, each large upload would count as a
+        time-out of its target, and flows of healthy targets would be reset.
         """
         driver = Driver(make_target(1))
         caller = driver.caller(1, ORDERS)
@@ -50,10 +50,10 @@
 
 class TestReset:
     def test_one_lost_request_resets_nothing(self):
-        """A datagram is lost; the caller sends its request again after 200 ms.
+        """A datagram is lost; the caller retransmits its request after 200 ms.
 
-        The target lives and would answer. A reset would break its flow for good,
-        so one repetition alone is not enough.
+        The target is healthy and would answer. A reset would break its flow, so a
+        single retransmission is not enough.
         """
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
@@ -64,9 +64,9 @@
         assert isinstance(caller.retransmit(), Forward)
 
     def test_slow_target_is_not_reset(self):
-        """A target works for a second on each request and acknowledges at once.
+        """A target takes a second per request, but acknowledges immediately.
 
-        The caller waits and sends nothing again, so nothing counts against it.
+        The caller does not retransmit, so nothing counts against the target.
         """
         driver = Driver(make_target(1))
         caller = driver.caller(1)
@@ -77,10 +77,10 @@
         assert row.timeouts == 0
 
     def test_retransmissions_of_one_request_count_once(self):
-        """Two copies of a preview's request are lost in a burst, then one arrives.
+        """Two copies of a request are lost in a burst, and the third arrives.
 
-        The target is well and answers the third copy. Counted apart, the first two
-        would have reset a flow that goes on.
+        The target is healthy and answers it. If each copy counted, the first two would
+        have reset a flow that goes on.
         """
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
@@ -92,10 +92,10 @@
             assert isinstance(caller.retransmit(), Forward)
 
     def test_retransmissions_of_two_flows_reset(self):
-        """A target has crashed under two previews; both callers send in vain.
+        """A target has crashed with two open previews, and both callers retransmit.
 
-        With a second flow that got no answer, one repetition is enough. The caller
-        tries again at once instead of waiting until its deadline.
+        With a second flow without an answer, one retransmission is enough. The caller
+        can retry immediately instead of waiting for its deadline.
         """
         driver = Driver(make_target(1))
         first, second = driver.caller(1), driver.caller(2)
@@ -113,8 +113,8 @@
     def test_requests_lost_at_the_same_moment_are_no_evidence_yet(self):
         """A burst fills the host's link for 20 ms; two requests to a target are lost.
 
-        Their callers send copies 200 ms later, a moment apart. The target, which
-        lives, has had no time to answer the first.
+        Their callers retransmit 200 ms later, almost at the same time. The target is
+        healthy but has had no time to answer the first retransmission.
         """
         driver = Driver(make_target(1))
         first, second = driver.caller(1), driver.caller(2)
@@ -128,10 +128,10 @@
         assert isinstance(second.retransmit(), Forward)
 
     def test_unanswered_openings_are_no_evidence(self):
-        """Callers give up while their openings are under way; a datagram is lost.
+        """Callers give up while their openings are in flight, and one datagram is lost.
 
-        A target seems to have left the openings unanswered. Counted as witnesses,
-        they would have the flow reset whose request was sent again once.
+        The target seems to have left the openings unanswered. If they counted, the flow
+        whose request was retransmitted once would be reset.
         """
         driver = Driver(make_target(1))
         caller = driver.caller(1)
@@ -159,19 +159,20 @@
         assert isinstance(second.retransmit(), Forward)
 
     def test_unreachable_target_resets_requests_of_its_other_flows(self):
-        """Another zone is cut off, with a dozen previews open to one target there.
+        """Another zone is partitioned, with a dozen previews open to one target there.
 
-        Two of them send again in vain. The next request of a third is reset at once
-        and served elsewhere in time; waiting for its own repetition makes it late.
+        Two of them have retransmitted. The next request of a third is reset immediately
+        and served elsewhere in time; waiting for its own retransmission would make it
+        late.
         """
         driver = Driver(make_target(1))
         third = retransmit_two_requests(driver)
         assert reason_of(third.send_request()) is ResetReason.TARGET_UNREACHABLE
 
     def test_evidence_against_a_target_expires(self):
-        """The cut has healed, and nobody has sent to the target since.
+        """The partition is over, and nothing was sent to the target since.
 
-        After a second its flows are tried again: the target would answer.
+        After a second its flows are tried again, since the target would answer.
         """
         driver = Driver(make_target(1))
         third = retransmit_two_requests(driver)
@@ -179,10 +180,10 @@
         assert isinstance(third.send_request(), Forward)
 
     def test_overloaded_target_keeps_its_flows(self):
-        """Two targets have crashed; the others are overrun by their callers.
+        """Two targets have crashed, and the others are overloaded.
 
-        A full target leaves openings unanswered while its open flows go on. Taken
-        for out of reach, those flows would be reset under the worst load.
+        An overloaded target leaves openings unanswered while its open flows go on. If
+        it counted as unreachable, those flows would be reset under the highest load.
         """
         driver = Driver(make_target(1))
         open_flow = driver.caller(1)
@@ -194,10 +195,10 @@
         assert isinstance(open_flow.send_request(), Forward)
 
     def test_order_is_never_reset(self):
-        """A standing order has reached a target that no longer answers.
+        """An order was sent to a target that no longer answers.
 
-        It may have run. A reset would leave the caller without an answer that
-        could still come, and tell it nothing.
+        It may have run. A reset would end the flow before a late answer, and would not
+        tell the caller whether it has run.
         """
         driver = Driver(make_target(1))
         caller = driver.caller(1, ORDERS)
@@ -209,7 +210,7 @@
             assert isinstance(caller.retransmit(), Forward)
 
     def test_answer_in_between_clears_the_timeout(self):
-        """Two datagrams are lost, with an answer between them: no reset."""
+        """Two datagrams are lost, with an answer in between: no reset."""
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
         caller.connect()
@@ -222,9 +223,9 @@
             caller.acknowledge_answer()
 
     def test_reset_after_the_removal_is_final(self):
-        """A target's entry has left the store, and the store has answered since.
+        """A target's entry was removed, and the store has answered since.
 
-        The target is gone: an idempotent request to it is reset at once.
+        The target is gone, so an idempotent request to it is reset immediately.
         """
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
@@ -235,9 +236,9 @@
         assert reason_of(caller.send_request()) is ResetReason.TARGET_GONE
 
     def test_no_reset_while_the_entry_may_return(self):
-        """The store forgot entries during an outage; the targets register anew.
+        """The store dropped entries during an outage, and the targets register again.
 
-        For two seconds a missing entry tells nothing, so the flow goes on.
+        For two seconds a missing entry is no evidence, so the flow goes on.
         """
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
@@ -250,10 +251,10 @@
 
 class TestSilence:
     def test_unresponsive_target_does_not_crash_the_process(self):
-        """Orders to a lost target are sent again and again, by many callers.
+        """Many callers retransmit orders to an unreachable target again and again.
 
-        None is reset, so silences add up. An avoidance that doubled without end
-        would overflow at a thousand, and the host would end for one lost target.
+        None is reset, so time-outs add up. An avoidance that doubles without limit
+        would overflow at a thousand time-outs and crash the host.
         """
         driver = Driver(make_target(1))
         caller = driver.caller(1, ORDERS)
--- a/tests/test_tokens/test_inquiry.py
+++ b/tests/test_tokens/test_inquiry.py
@@ -1,4 +1,4 @@
-"""What the hosts of a zone find out together about silent targets."""
+"""Tests of zone-wide inquiries about unresponsive targets."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 )
 from tests.test_tokens.driver import ORDERS, PREVIEWS, Driver, make_target, reason_of
 
-#: The zone's reader, and the hosts that follow it.
+#: The zone reader, and the hosts that follow it.
 READER = "10.0.0.1"
 FOLLOWERS = tuple(f"10.0.0.{number}" for number in range(2, 8))
 
-#: Those of them that see the target leave a request unanswered.
+#: The followers at which the target leaves a request unanswered.
 REPORTING = FOLLOWERS[:4]
 
-#: The target that dies, and how long a caller waits before it sends again.
+#: The target that crashes, and the retransmission timeout of callers in seconds.
 CRASHED = 1
 RETRANSMISSION_TIMEOUT = 0.2
 
 
 class HostGroup:
-    """Hosts that hand each other messages, with one clock."""
+    """Hosts that exchange messages, with a common clock."""
 
     def __init__(self):
         self.hosts = {}
@@ -67,12 +67,12 @@
         return self.hosts[READER]
 
     def poll(self, address):
-        """Have a follower ask the reader for news."""
+        """Let a follower poll the zone reader."""
         poll = FeedPoll(self.reader.revision, self.now, self.now + 2.0, address)
         self.reader.core.answer_poll(poll, self.now)
 
     def advance(self, seconds, step=0.01):
-        """Let time pass; all hosts take turns and hear each other."""
+        """Advance the clock; all hosts run and receive each other's messages."""
         until = self.now + seconds
         while self.now < until - step / 2:
             self.now += step
@@ -81,7 +81,7 @@
                 self.deliver(address, driver.core.tick(self.now))
 
     def deliver(self, source, actions):
-        """Hand messages over; what they lead to too."""
+        """Deliver messages, and those that they cause."""
         for action in actions:
             if not isinstance(action, Tell):
                 self.hosts[source].collect_logs([action])
@@ -94,7 +94,7 @@
             self.deliver(action.to, answers)
 
     def connect(self, address, port, route=PREVIEWS):
-        """Open a flow to the target that dies; return its caller."""
+        """Open a flow to the target that crashes; return its caller."""
         driver = self.hosts[address]
         caller = driver.caller(port, route)
         row = driver.tables.targets[f"i-{CRASHED:x}"]
@@ -104,7 +104,7 @@
         return caller
 
     def lose_requests(self, addresses):
-        """Have a request at each of these hosts stay without an answer."""
+        """Let a request at each of these hosts go unanswered."""
         callers = [
             self.connect(address, port)
             for address, port in zip(addresses, self.ports, strict=False)
@@ -125,12 +125,12 @@
 
 
 def test_request_to_a_crashed_target_is_reset_at_a_host_without_evidence():
-    """Callers of a target that died wait until their deadlines.
+    """Callers of a crashed target wait until their deadlines.
 
-    Targets died without a sign, and their entries stayed for five seconds. A host sees
-    a request to a given target once in half a minute, so that two repeated requests
-    met at one host twice on a day of 29 dead targets, while 239 requests ran out their
-    deadline. Fifty such signs of each were seen by some twenty hosts of its zone.
+    Targets crashed and their entries stayed for five seconds. A host sees a request to
+    a given target once in half a minute, so that on a day with 29 crashed targets two
+    retransmissions met at one host only twice, while 239 requests ran into their
+    deadline. For each target, some twenty hosts of its zone saw fifty retransmissions.
     """
     zone = HostGroup()
     late = zone.connect(FOLLOWERS[5], 99)
@@ -165,10 +165,10 @@
     "addresses", [REPORTING[1:], REPORTING[:1] * 4], ids=["three", "one host"]
 )
 def test_few_reports_start_no_inquiry(addresses):
-    """A flow of a target that lives is reset.
+    """A flow of a healthy target is reset.
 
-    Three datagrams to it were lost by chance, or one host's link is full and loses all
-    that it sends. Neither may be taken for a lost target.
+    Three datagrams to it were lost by chance, or one host's link is saturated and loses
+    everything that it sends. Neither shows that the target is unreachable.
     """
     zone = HostGroup()
     zone.lose_requests(addresses)
@@ -177,10 +177,10 @@
 
 
 def test_one_host_with_an_answer_refutes_the_suspicion():
-    """Four requests are lost on a bad link, and the target's flows are all reset.
+    """Four requests are lost on a bad link, and all flows of the target are reset.
 
-    The target lives: at a fifth host a request was answered meanwhile. That host is
-    asked, and what it says must outweigh all reports.
+    The target is healthy: it answered a request at a fifth host meanwhile. That host's
+    reply must outweigh all reports.
     """
     zone = HostGroup()
     other = zone.connect(FOLLOWERS[4], 50)
@@ -193,10 +193,10 @@
 
 
 def test_without_replies_there_is_no_verdict():
-    """The reader's own link is full, and it resets what others could reach.
+    """The zone reader's link is saturated, and it resets flows of healthy targets.
 
-    Reports come through, its question or the replies do not: what it has not heard
-    says nothing.
+    Reports arrive, but its inquiry or the replies do not; missing replies are no
+    evidence.
     """
     zone = HostGroup()
     zone.lose_requests(REPORTING)
@@ -208,9 +208,9 @@
 
 
 def test_stalled_host_does_not_reply():
-    """A frozen host has unread answers of a living target, and denies nothing.
+    """A stalled host has unread answers of a healthy target, and refutes nothing.
 
-    Its silence must not count as agreement: it does not reply at all.
+    Its missing refutation must not count as agreement, so it does not reply.
     """
     zone = HostGroup()
     zone.lose_requests(REPORTING)
@@ -223,9 +223,9 @@
 
 
 def test_host_with_a_failing_local_path_ignores_the_verdict():
-    """A verdict reaches a host whose link is full; flows that live are reset there.
+    """A verdict reaches a host whose link is saturated; healthy flows are reset.
 
-    Nothing of what it sent lately was answered, so it cannot tell.
+    Nothing that it sent recently was answered, so it has no evidence of its own.
     """
     zone = HostGroup()
     late = zone.connect(FOLLOWERS[5], 99)
@@ -248,7 +248,7 @@
 
 
 def test_verdict_on_an_earlier_incarnation_is_ignored():
-    """A target starts again at once and its new flows are reset for two seconds."""
+    """A target restarts at once, and its new flows are reset for two seconds."""
     zone = HostGroup()
     driver = zone.hosts[FOLLOWERS[0]]
     driver.now = zone.now = zone.now + 1.0
@@ -276,10 +276,10 @@
 
 
 def test_lossy_links_cause_no_verdict():
-    """Links lose 3 of 100 datagrams, and flows of living targets are reset.
+    """Links lose 3 of 100 datagrams, and flows of healthy targets are reset.
 
-    Targets are reported again and again, and have answered after all. While that goes
-    on a target that no host happens to have heard of is not lost either.
+    Targets are reported repeatedly, and their answers refute it. While that goes on, a
+    target that happens to have answered no host is not treated as unreachable either.
     """
     zone = HostGroup()
     zone.reader.tables.inquiry.refuted_at.extend([zone.now, zone.now])
@@ -293,10 +293,10 @@
 
 
 def test_refuted_targets_do_not_block_verdicts_on_others():
-    """A quarter of the targets die at once, two of which had answered just before.
+    """A quarter of the targets crash at once, two of which had answered just before.
 
-    Put down to lossy links, that left a whole zone without a verdict for two seconds,
-    and requests to ten dead targets ran out their deadlines.
+    If that were attributed to lossy links, a whole zone would get no verdict for two
+    seconds, and requests to ten crashed targets would run into their deadlines.
     """
     zone = HostGroup()
     table = zone.reader.tables.inquiry
--- a/tests/test_tokens/test_local_path.py
+++ b/tests/test_tokens/test_local_path.py
@@ -1,4 +1,4 @@
-"""What the host's own link does to its packets is no evidence against targets."""
+"""Tests of the local path: loss at the host's own link is no evidence."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def connect(driver, count):
-    """Open flows, and return their callers."""
+    """Open flows and return their callers."""
     callers = [driver.caller(port) for port in range(count)]
     for caller in callers:
         caller.connect()
@@ -17,7 +17,7 @@
 
 
 def retransmit_requests(driver, callers):
-    """Have requests go out that are sent again 200 ms later."""
+    """Let requests be sent, and retransmitted 200 ms later."""
     for caller in callers:
         caller.send_request()
     driver.now += 0.2
@@ -28,24 +28,24 @@
 
 class TestControl:
     def test_timeouts_of_all_targets_reset_nothing(self):
-        """Six times the callers; the host's link of 5 Mbit/s is full for a second.
+        """With six times the callers, the host's link of 5 Mbit/s is full for a second.
 
-        Requests to every target wait there, and callers send them again after 200 ms.
-        Two repetitions at one target look like its death; it lives, and a reset would
-        break flows by the dozen.
+        Requests to every target are queued there, and callers retransmit them after 200
+        ms. Two retransmissions to one target suggest that it has crashed; it is
+        healthy, and a reset would break dozens of flows.
         """
         driver = Driver(make_target(1))
         for action in retransmit_requests(driver, connect(driver, 6)):
             assert isinstance(action, Forward)
 
     def test_timeouts_of_all_zones_reset_nothing(self):
-        """The same, with the targets in another zone: that zone is not cut off."""
+        """The same with all targets in another zone: that zone is not partitioned."""
         driver = Driver(*(make_target(number, "south") for number in range(1, 6)))
         for action in retransmit_requests(driver, connect(driver, 5)):
             assert isinstance(action, Forward)
 
     def test_answers_to_earlier_packets_are_no_control(self):
-        """The link filled up a moment ago; answers to earlier packets still come."""
+        """The link has just filled up; answers to earlier packets still arrive."""
         driver = Driver(make_target(1))
         callers = connect(driver, 2)
         driver.answer_control_openings()
@@ -53,7 +53,7 @@
             assert isinstance(action, Forward)
 
     def test_answers_from_the_unresponsive_zone_are_no_control(self):
-        """Of a zone that is cut off nothing answers; another zone must."""
+        """A partitioned zone answers nothing, so targets of another zone must."""
         driver = Driver(make_target(1, "south"))
         (caller,) = connect(driver, 1)
         caller.send_request()
@@ -62,10 +62,10 @@
             assert isinstance(caller.retransmit(), Forward)
 
     def test_stall_of_the_host_voids_earlier_evidence(self):
-        """The host stands still for a second while requests to a target are under way.
+        """The host stalls for a second while requests to a target are in flight.
 
-        What it should have sent on waited in its socket. Others are answered at once
-        afterwards, which shows nothing of the time before.
+        What it should have forwarded waited in its socket's queue. Other targets answer
+        at once afterwards, which shows nothing about the time before.
         """
         driver = Driver(make_target(1))
         callers = connect(driver, 2)
@@ -105,15 +105,15 @@
 
 
 class TestLosses:
-    """Requests of three flows: two to a silent target, one to a target that answers."""
+    """Requests of three flows: two to an unresponsive target, one to a healthy one."""
 
     def lose_request_to_another_target(self, answered, zone="north"):
-        """Have a request to another target be lost too; return what a reset brings.
+        """Let a request to another target be lost too; return the action for a copy.
 
         Parameters
         ----------
         answered : int
-            Answers of a third target to openings that went out meanwhile.
+            Answers of a third target to openings that were sent meanwhile.
         zone : str
             Zone of the other target.
         """
@@ -135,10 +135,10 @@
         return callers[1].retransmit()
 
     def test_losses_on_other_paths_are_attributed_to_the_host(self):
-        """A full link drops every third packet; what gets through is answered.
+        """A saturated link drops every third packet; what gets through is answered.
 
-        By chance two requests to one target are lost with their copies, while others
-        go on to others. Answers alone would be control enough.
+        By chance two requests to one target are lost with their retransmissions, while
+        requests to others succeed. Answers alone would be a sufficient control.
         """
         assert isinstance(self.lose_request_to_another_target(answered=2), Forward)
 
@@ -148,12 +148,12 @@
         assert reason is ResetReason.TARGET_UNREACHABLE
 
     def lose_requests_before(self, *, answered):
-        """Have two requests be lost, a second before two more are.
+        """Let two requests be lost, a second before two more are.
 
         Parameters
         ----------
         answered : bool
-            Whether the first two were answered when they were sent again.
+            Whether the first two were answered after their retransmission.
         """
         driver = Driver(make_target(1), make_target(2))
         early = connect(driver, 2)
@@ -177,15 +177,16 @@
         return late[1].retransmit()
 
     def test_earlier_losses_that_were_answered_are_attributed_to_the_host(self):
-        """The burst lasts; some requests have got through only when sent again.
+        """During a burst, some requests get through only when they are retransmitted.
 
-        Their targets were there. Two more that are lost with their copies, to a target
-        that has been silent for a moment, show no more than that.
+        Their targets were reachable. Two more requests that are lost with their
+        retransmissions, to a target that is unresponsive for a moment, show no more
+        than that.
         """
         assert isinstance(self.lose_requests_before(answered=True), Forward)
 
     def test_losses_to_a_partitioned_zone_are_not_attributed_to_the_host(self):
-        """The host's own zone is cut off; a target in it has died as well."""
+        """The host's own zone is partitioned; a target in it has crashed as well."""
         reason = reason_of(
             self.lose_request_to_another_target(answered=2, zone="south")
         )
@@ -193,10 +194,10 @@
 
 
 def test_flow_from_another_host_is_no_answer():
-    """A host has gone; its flows come here, some of them to a target that is dead.
+    """A host has stopped; its flows move here, some of them bound to a crashed target.
 
-    Their openings were answered long ago. Taken for answers now, they would clear the
-    target of its silence, and new flows would be sent to it.
+    Their openings were answered long ago. If they counted as answers now, they would
+    clear the target's time-outs, and new flows would be sent to it.
     """
     driver = Driver(make_target(1), make_target(2))
     first = driver.caller(1)
--- a/tests/test_tokens/test_zones.py
+++ b/tests/test_tokens/test_zones.py
@@ -1,4 +1,4 @@
-"""What counts as a sign that the way to a whole zone is lost, and what follows."""
+"""Tests of zone failures: evidence that a zone is partitioned, and its effects."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 class TestResetIntoZone:
     def test_flow_into_a_partitioned_zone_is_reset_after_one_retransmission(self):
-        """Another zone is cut off; a host has one preview to each of its targets.
+        """Another zone is partitioned; a host has one preview to each of its targets.
 
-        No target has a second flow as a witness. Three silent targets of the zone,
-        with no answer from it since, are evidence for each of them.
+        No target has a second flow as evidence. Three unresponsive targets of the zone,
+        without an answer from it since, are evidence for each of them.
         """
         driver = Driver(*(make_target(number, "south") for number in (1, 2, 3)))
         callers = [driver.caller(port) for port in range(3)]
@@ -42,10 +42,11 @@
         assert reason_of(callers[2].retransmit()) is ResetReason.TARGET_UNREACHABLE
 
     def test_zone_without_time_to_answer_is_not_unreachable_yet(self):
-        """A burst fills the host's link for 20 ms; what goes to one zone is lost.
+        """A burst saturates the host's link for 20 ms; packets to one zone are lost.
 
-        Copies follow 200 ms later, all at once too. The zone's targets live, and have
-        had no time to answer them; a reset would break a flow that goes on.
+        Their retransmissions follow 200 ms later, all at once as well. The zone's
+        targets are healthy but have had no time to answer; a reset would break a flow
+        that goes on.
         """
         driver = Driver(*(make_target(number, "south") for number in (1, 2, 3)))
         callers = [driver.caller(port) for port in range(3)]
@@ -62,10 +63,10 @@
     def test_single_flow_into_a_partitioned_zone_is_reset_after_two_retransmissions(
         self,
     ):
-        """Another zone is cut off; a host has a single preview to it.
+        """Another zone is partitioned; a host has a single preview to it.
 
-        Nobody else speaks to that zone. After the second copy, 0.6 s after the
-        request, the caller is told to try elsewhere; it would wait until its deadline.
+        No other flow goes to that zone. After the second retransmission, 0.6 s after
+        the request, the flow is reset, and the caller need not wait until its deadline.
         """
         driver = Driver(make_target(1, "south"))
         caller = driver.caller(1)
@@ -95,7 +96,7 @@
             assert isinstance(callers[0].retransmit(), Forward)
 
     def test_answer_from_the_zone_keeps_flows_of_its_unresponsive_targets(self):
-        """Three targets of another zone are silent for a moment; a fourth answers."""
+        """Three targets of another zone do not answer for a moment; a fourth does."""
         driver = Driver(*(make_target(number, "south") for number in (1, 2, 3, 4)))
         callers = [driver.caller(port) for port in range(4)]
         for caller in callers:
@@ -113,10 +114,10 @@
 
 class TestZones:
     def test_one_crashed_target_does_not_make_its_zone_suspect(self):
-        """One target of another zone has crashed; its neighbours are well.
+        """One target of another zone has crashed; the others are healthy.
 
-        Its openings go unanswered. Were the whole zone avoided, the others would
-        be overrun, and flows in it would be reset.
+        Its openings go unanswered. If the whole zone were avoided, other targets would
+        be overloaded, and flows in the zone would be reset.
         """
         driver = Driver(*(make_target(number, "south") for number in (1, 2, 3)))
         caller = driver.caller(1)
@@ -128,10 +129,10 @@
         assert driver.tables.zones["south"].suspect_until <= driver.now
 
     def test_timeouts_of_two_targets_make_the_zone_suspect(self):
-        """Another zone is cut off: openings to two of its targets go unanswered.
+        """Another zone is partitioned: openings to two of its targets go unanswered.
 
-        New flows then go to targets in reach at once, without trying each of the
-        zone's targets first.
+        New flows then go to reachable targets immediately, without trying each target
+        of the zone first.
         """
         driver = Driver(
             make_target(1, "south"),
@@ -145,7 +146,7 @@
         assert target_of(driver.caller(3).open()) == "i-4"
 
     def test_answer_from_the_zone_ends_the_suspicion(self):
-        """The cut has healed: one answer from the zone ends the suspicion."""
+        """The partition is over: one answer from the zone ends the suspicion."""
         driver = Driver(*(make_target(number, "south") for number in (1, 2, 3)))
         unanswered_opening(driver, 1)
         unanswered_opening(driver, 2)
