--- a/citronspring/tokens/change_feed.py
+++ b/citronspring/tokens/change_feed.py
@@ -1,4 +1,4 @@
-"""What the reader of a zone hands on to the hosts that follow it."""
+"""The change feed that a zone reader serves to the hosts that follow it."""
 
 from __future__ import annotations
 
@@ -22,54 +22,54 @@
     from citronspring.tokens.tables import ChangeLog, Tables
     from citronspring.tokens.times import ReaderTimes
 
-#: Changes kept for followers. They ask again within three seconds, in which even a
-#: fleet that is replaced as a whole brings a few hundred; one that is further behind
-#: reads the store.
+#: Number of changes kept for followers. They poll again within three seconds, in which
+#: even the replacement of a whole fleet brings a few hundred changes. A follower that
+#: is further behind reads the store.
 MAX_LOGGED_CHANGES = 1000
 
-#: Share of a host's link that its followers may take. What a link has no room for is
-#: lost, callers' packets first: a configuration sent whole to a zone keeps a small link
-#: full for a second, and flows break.
+#: Share of a host's link that its followers may use. A saturated link drops packets,
+#: and those of callers first: a full configuration sent to a whole zone saturates a
+#: small link for a second, and flows break.
 LINK_SHARE = 0.05
 
-#: Seconds for which an unused share is saved up.
+#: Seconds for which an unused share accumulates.
 MAX_BURST_SECONDS = 1.0
 
-#: Bytes that an answer takes beside its body.
+#: Bytes of an answer beside its body.
 HEADER_BYTES = 150
 
-#: Status for a follower that is further behind than the log reaches, and for one
-#: that had better read the store itself.
+#: HTTP status for a follower whose changes are no longer in the log, and for one that
+#: should read the store because this host is not current.
 TOO_FAR_BEHIND = 410
 NOT_CURRENT = 503
 
 
 @record
 class FeedPoll:
-    """A follower's question, held until there is something to say."""
+    """A follower's long poll, held until there are changes or its deadline passes."""
 
     after_revision: int
     asked_at: float
-    #: When it is answered at the latest.
+    #: Latest time of the answer.
     deadline: float
-    #: Address of the follower, empty where that is not known.
+    #: Address of the follower, empty if it is unknown.
     host: str = ""
 
 
 def log_changes(tables: Tables, now: float, newest: int = 0) -> None:
-    """Keep what an answer of the store has changed for followers.
+    """Log the changes of a store answer for followers.
 
     Parameters
     ----------
     tables : Tables
         All state.
     now : float
-        Seconds.
+        Current time in seconds.
     newest : int
-        Largest revision of an entry in the answer. One on a later page of a list may be
-        newer than the first page. Kept under the revision of that, it would be nothing
-        new to a follower that has read up to there; and to the reader itself it is
-        none when its watch brings it again.
+        Largest revision of an entry in the answer. An entry on a later page of a list
+        may be newer than the first page. Logged under the revision of the first page,
+        it would be skipped for a follower that has read up to there, and the zone
+        reader itself sees no change when its watch brings the entry again.
     """
     log = tables.change_log
     last_revision = log.changes[-1].revision if log.changes else 0
@@ -81,7 +81,7 @@
 
 
 def start_change_log(tables: Tables) -> None:
-    """Begin the log at what the first list brought; followers have read that too."""
+    """Start the change log at the first list, which followers have read as well."""
     tables.change_log.pending.clear()
     tables.change_log.changes.clear()
     tables.change_log.compacted_revision = tables.reader.revision
@@ -90,10 +90,10 @@
 def answer_poll(
     tables: Tables, times: ReaderTimes, poll: FeedPoll, now: float
 ) -> tuple[int, bytes] | None:
-    """Return status and body for a follower, None to let it wait on.
+    """Return status and body for a follower's poll, None while it has to wait.
 
-    A host that cannot vouch for what it knows says so at once: followers then read
-    the store while there is time within the bound.
+    A host that cannot confirm its state says so immediately, so that its followers can
+    read the store within the bound.
     """
     reader = tables.reader
     age = now - reader.current_at
@@ -101,13 +101,16 @@
     if not_serving or reader.failures or age > times.follow_age:
         return NOT_CURRENT, b"not current\n"
     if epoch_of(poll.after_revision) != epoch_of(reader.revision):
-        # What one of both knows may be nothing that the store has held since.
-        return TOO_FAR_BEHIND, b"of another epoch of the store\n"
+        # One of the two may hold state that the restored store never had.
+        return (
+            TOO_FAR_BEHIND,
+            b"revision belongs to another restore epoch of the store\n",
+        )
     if poll.after_revision < tables.change_log.compacted_revision:
-        return TOO_FAR_BEHIND, b"further behind than what is kept\n"
+        return TOO_FAR_BEHIND, b"revision is older than the change log\n"
     skipped_from, skipped_to = tables.change_log.skipped
     if skipped_from < poll.after_revision < skipped_to:
-        return TOO_FAR_BEHIND, b"a list has skipped what is known there\n"
+        return TOO_FAR_BEHIND, b"revision is in a range that a list has skipped\n"
     changes = changes_above(tables.change_log, poll.after_revision)
     confirmed = reader.current_at > poll.asked_at
     if not changes and not confirmed and now < poll.deadline:
@@ -125,7 +128,7 @@
     encoded_changes = ", ".join(change_text(logged, now) for logged in changes)
     body = encode_body(f'{head[:-1]}, "changes": [{encoded_changes}]}}')
     if not take_from_bucket(tables.change_log, len(body) + HEADER_BYTES, now):
-        reason = f"{len(body)} bytes are more than the link has room for\n"
+        reason = f"{len(body)} bytes exceed the bandwidth for followers\n"
         return TOO_FAR_BEHIND, reason.encode()
     return OK, body
 
@@ -133,8 +136,8 @@
 def changes_above(log: ChangeLog, revision: int) -> list[LoggedChange]:
     """Return the changes above a revision, oldest first.
 
-    Looked for from the newest on: the polls of a zone are asked about at each turn of
-    the process, and a reader has no time to go through a whole log each time.
+    The search starts at the newest change: the polls of a zone are checked in each
+    event-loop iteration, and a scan of the whole log each time would take too long.
     """
     found = []
     for logged in reversed(log.changes):
@@ -146,9 +149,9 @@
 
 
 def change_text(logged: LoggedChange, now: float) -> str:
-    """Return a change as it is handed on, written once for all followers.
+    """Return a change as JSON text, which is encoded once for all followers.
 
-    But for a target that was cold when it was read: it is so for less time by now.
+    A target in warm-up is encoded each time, since its remaining warm-up shrinks.
     """
     change = logged.change
     if isinstance(change, Target) and change.warmup:
@@ -159,7 +162,10 @@
 
 
 def take_from_bucket(log: ChangeLog, size: int, now: float) -> bool:
-    """Take some bytes of what followers may cost; return whether there were enough."""
+    """Take ``size`` bytes from the followers' token bucket if it holds them.
+
+    Return whether it did.
+    """
     gained = min(now - log.bucket_updated_at, MAX_BURST_SECONDS) * log.rate
     log.bucket_level = min(log.bucket_level + gained, MAX_BURST_SECONDS * log.rate)
     log.bucket_updated_at = now
@@ -172,7 +178,7 @@
 def decode_feed(
     status: int, body: bytes
 ) -> FeedAnswer | HistoryLost | Refused | Unanswered:
-    """Return what a reader's answer holds."""
+    """Return the content of a zone reader's answer."""
     if status == TOO_FAR_BEHIND:
         return HistoryLost()
     if status != OK:
@@ -180,7 +186,7 @@
     try:
         found = decode_body(body)
         if found.get("format") != FORMAT_VERSION:
-            return Unanswered("the reader is of another release")
+            return Unanswered("the zone reader runs another release")
         return FeedAnswer(
             tuple(decode_change(change) for change in found["changes"]),
             int(found["revision"]),
@@ -189,4 +195,4 @@
             int(found["configuration"]),
         )
     except DECODE_ERRORS as error:
-        return Unanswered(f"news that cannot be read: {error!r}")
+        return Unanswered(f"invalid change feed response: {error!r}")
--- a/citronspring/tokens/codec.py
+++ b/citronspring/tokens/codec.py
@@ -1,4 +1,4 @@
-"""What a host knows as plain values, as hosts hand it on to each other."""
+"""Encoding of a host's state as JSON-compatible values, for exchange between hosts."""
 
 from __future__ import annotations
 
@@ -23,40 +23,40 @@
     from citronspring.tokens.entries import FeedChange
 
 
-#: Release of what hosts tell each other. The second one tells which zones are drained,
-#: the third numbers revisions by epochs; who hears from a host of an earlier one must
-#: not take its silence for an answer.
+#: Version of the format that hosts exchange. Version 2 adds zone drains, version 3
+#: numbers revisions by epoch. A message of an earlier version may lack such data, so
+#: its absence there means nothing.
 FORMAT_VERSION = 3
 
-#: What decoding raises when a copy has another shape, as one of another release may.
+#: Errors that decoding raises for a body of another shape, as another release may send.
 DECODE_ERRORS = (AttributeError, IndexError, KeyError, TypeError, ValueError)
 
-#: Bytes from which a body is compressed. A difference of 1,400 routes shrinks from
-#: 185 to 26 KB in 0.6 ms, and a reader's share of its link does for a whole zone; a
-#: body of a packet or two gains nothing.
+#: Size in bytes from which a body is compressed. Compression takes 0.6 ms for a
+#: difference of 1,400 routes and reduces it from 185 to 26 KB, so that a zone reader's
+#: share of its link serves a whole zone. A body of one or two packets gains nothing.
 MIN_COMPRESSED_BYTES = 2000
 
-#: Level of compression: the quickest; 6 saves another fifth for twice the time.
+#: Compression level; the fastest. Level 6 saves another fifth but takes twice the time.
 COMPRESSION_LEVEL = 1
 
-#: Bytes that a body may have when it is unpacked, 20 times the largest configuration
-#: of the platform, so that a damaged one cannot use up a host's memory.
+#: Largest decompressed body in bytes, 20 times the largest configuration of the
+#: platform. It keeps a corrupted body from exhausting a host's memory.
 MAX_DECOMPRESSED_BYTES = 20_000_000
 
 
 def encode_body(text: str) -> bytes:
-    """Return JSON text as it is sent between hosts, compressed where that pays."""
+    """Return JSON text as a body, compressed if that reduces traffic."""
     body = text.encode()
     if len(body) < MIN_COMPRESSED_BYTES:
         return body
-    # Imported for the first large body; a start needs none.
+    # Imported for the first large body; starting a host needs no compression.
     from zlib import compress
 
     return compress(body, COMPRESSION_LEVEL)
 
 
 def decode_body(body: bytes) -> Any:
-    """Return the plain values in a body; raises one of `DECODE_ERRORS`."""
+    """Return the JSON value in a body; raise one of `DECODE_ERRORS` on failure."""
     if body.startswith(b"{"):
         return loads(body)
     from zlib import decompressobj, error
@@ -65,14 +65,17 @@
     try:
         text = decompressor.decompress(body, MAX_DECOMPRESSED_BYTES)
     except error as cause:
-        raise ValueError(f"the body is damaged: {cause}") from cause
+        raise ValueError(f"corrupted body: {cause}") from cause
     if not decompressor.eof:
-        raise ValueError("the body is cut off, or too large")
+        raise ValueError("body is truncated or exceeds the size limit")
     return loads(text)
 
 
 def encode_change(change: FeedChange, age: float = 0.0) -> dict[str, Any]:
-    """Return a change as plain values; ``age`` in seconds since it was read."""
+    """Return a change as JSON-compatible values.
+
+    ``age`` is the time in seconds since it was read.
+    """
     match change:
         case ConfigurationChange():
             return {
@@ -99,7 +102,7 @@
 
 
 def decode_change(body: dict[str, Any]) -> FeedChange:
-    """Return a change from plain values."""
+    """Return a change from its encoded values."""
     if "base" in body:
         return ConfigurationChange(
             int(body["base"]),
@@ -128,7 +131,7 @@
 
 
 def encode_route(route: Route) -> dict[str, Any]:
-    """Return a route as plain values."""
+    """Return a route as JSON-compatible values."""
     return {
         "name": route.name,
         "key": route.key,
@@ -140,7 +143,7 @@
 
 
 def encode_target(target: Target, warmup: float) -> dict[str, Any]:
-    """Return a target as plain values."""
+    """Return a target as JSON-compatible values."""
     names: tuple[str, ...] = Target.__match_args__
     values: dict[str, Any] = {name: getattr(target, name) for name in names}
     values["warmup"] = warmup
@@ -148,13 +151,13 @@
 
 
 def decode_configuration(body: dict[str, Any]) -> Configuration:
-    """Return a configuration from plain values."""
+    """Return a configuration from its encoded values."""
     routes = tuple(decode_route(route) for route in body["routes"])
     return Configuration(int(body["revision"]), routes, float(body["idle_timeout"]))
 
 
 def decode_route(body: dict[str, Any]) -> Route:
-    """Return a route from plain values."""
+    """Return a route from its encoded values."""
     return Route(
         str(body["name"]),
         int(body["key"]),
@@ -166,13 +169,13 @@
 
 
 def objective_of(body: dict[str, Any]) -> float:
-    """Return the objective in a route's plain values; infinite if there is none."""
+    """Return the objective of an encoded route, infinite if it has none."""
     objective = body.get("objective")
     return INFINITY if objective is None else float(objective)
 
 
 def decode_target(body: dict[str, Any]) -> Target:
-    """Return a target from plain values."""
+    """Return a target from its encoded values."""
     ip, port = body["endpoint"]
     return Target(
         str(body["target_id"]),
@@ -190,7 +193,7 @@
 
 
 def decode_zone_reader(body: dict[str, Any]) -> ZoneReader:
-    """Return the reader of a zone from plain values."""
+    """Return a zone reader from its encoded values."""
     ip, port = body["endpoint"]
     return ZoneReader(
         str(body["zone"]),
@@ -201,17 +204,17 @@
 
 
 def encode_zone_drain(drain: ZoneDrain) -> dict[str, Any]:
-    """Return whether a zone is drained as plain values."""
+    """Return a zone drain as JSON-compatible values."""
     names: tuple[str, ...] = ZoneDrain.__match_args__
     return {name: getattr(drain, name) for name in names}
 
 
 def decode_zone_drain(body: dict[str, Any]) -> ZoneDrain:
-    """Return whether a zone is drained from plain values."""
+    """Return a zone drain from its encoded values."""
     return ZoneDrain(str(body["zone"]), int(body["revision"]), bool(body["ended"]))
 
 
 def start_time_of(body: dict[str, Any]) -> int | None:
-    """Return which start of a target plain values are of, None if they do not say."""
+    """Return the start time of an encoded target, None if it is not given."""
     started = body.get("started")
     return None if started is None else int(started)
--- a/citronspring/tokens/election.py
+++ b/citronspring/tokens/election.py
@@ -1,7 +1,7 @@
-"""How the hosts of a zone agree on the one that reads the store for it.
+"""Election of the zone reader, the host that reads the store for its zone.
 
-A host registers itself under a lease where no reader is registered. Two readers, or
-none for a while, cost calls to the store and nothing else.
+A host registers itself under a lease if no zone reader is registered. Having two zone
+readers, or none for a while, costs extra calls to the store but is otherwise harmless.
 """
 
 from __future__ import annotations
@@ -27,25 +27,29 @@
     from citronspring.tokens.messages import Action, ElectionAnswer, ElectionCall
     from citronspring.tokens.tables import Tables
 
-#: Seconds that a lease lasts. While a dead reader's lease runs the hosts of its zone
-#: read the store themselves, so a longer one costs calls; a renewal is a tenth of one.
+#: Duration of a lease in seconds. Until the lease of a crashed zone reader expires, the
+#: hosts of its zone read the store themselves, so a longer lease costs calls; a renewal
+#: costs a tenth of one.
 LEASE_SECONDS = 4.0
 
-#: Share of a lease after which it is renewed: two renewals may be lost.
+#: Share of a lease's duration after which it is renewed; two renewals in a row may
+#: fail.
 RENEWAL_FRACTION = 0.3
 
-#: Seconds over which the hosts of a zone spread their claims. A claim is known to all
-#: within 20 ms, so that of thirty hosts one or two call in vain.
+#: Range in seconds over which the hosts of a zone spread their claims. A claim is
+#: visible to all hosts within 20 ms, so that of thirty hosts only one or two claim in
+#: vain.
 CLAIM_JITTER = 1.0
 
-#: Seconds that a host waits longer the smaller it is, times its share of a processor:
-#: handing on costs a small host more of what it has for callers.
+#: Additional delay in seconds, divided by the host's share of a processor, so that
+#: smaller hosts wait longer. Serving followers costs a small host a larger part of its
+#: capacity for callers.
 SMALL_HOST_DELAY = 0.2
 
-#: Longest of that.
+#: Upper bound of that delay in seconds.
 MAX_SMALL_HOST_DELAY = 2.0
 
-#: Seconds until a call is given up, and after one that failed until the next.
+#: Timeout of a call, and the pause after a failed call, in seconds.
 CALL_TIMEOUT = 0.5
 RETRY_PAUSE = 0.5
 
@@ -61,18 +65,18 @@
 def next_election_call(
     tables: Tables, endpoint: Endpoint, delay: float, now: float
 ) -> ElectionCall | None:
-    """Return the call to make now, None while nothing is to be done.
+    """Return the election call that is due, None if none is.
 
     Parameters
     ----------
     tables : Tables
         All state.
     endpoint : Endpoint
-        Where this host hands on what it has read.
+        Address at which this host serves its change feed.
     delay : float
         Seconds to wait before a claim, see `claim_delay`.
     now : float
-        Seconds.
+        Current time in seconds.
     """
     election = tables.election
     if election.lease and now >= election.lease_deadline:
@@ -92,10 +96,10 @@
 
 
 def schedule_claim(tables: Tables, delay: float, now: float) -> None:
-    """Decide when this host claims its zone, once nobody is known to read for it.
+    """Schedule a claim if the zone has no reader.
 
-    A reader that has started again claims at once: else its zone would have a silent
-    one until the lease of before ends, and then none.
+    A zone reader that has restarted claims immediately. Otherwise its zone would have
+    an unresponsive reader until the old lease expires, and none after that.
     """
     election = tables.election
     note_stale_entry(tables)
@@ -106,13 +110,13 @@
 
 
 def note_stale_entry(tables: Tables) -> None:
-    """Take that this host is registered under a lease that it does not know."""
+    """Record that this host is registered under a lease that it does not know."""
     if is_zone_reader(tables) and not tables.election.lease:
         tables.election.stale_revision = tables.zone_readers[tables.zone].revision
 
 
 def zone_lacks_reader(tables: Tables) -> bool:
-    """Whether nobody is registered, or only this host before its start."""
+    """Whether no host is registered, or only this host before its restart."""
     reader = tables.zone_readers.get(tables.zone)
     if reader is None:
         return True
@@ -120,12 +124,12 @@
 
 
 def store_is_readable(tables: Tables) -> bool:
-    """Whether this host has read the store, and its last call was answered."""
+    """Whether this host has read the store and its last call succeeded."""
     return tables.reader.listed and not tables.reader.failures
 
 
 def release_lease(tables: Tables) -> EndLease | None:
-    """Return the call by which a leaving host gives up its lease, once."""
+    """Return the call by which a leaving host ends its lease, None if it has none."""
     lease, tables.election.lease = tables.election.lease, 0
     return EndLease(lease) if lease else None
 
@@ -137,10 +141,10 @@
     sent_at: float,
     now: float,
 ) -> list[Action]:
-    """Take what a call brought.
+    """Apply the answer to an election call.
 
-    A claim without an answer may have come through: the watch tells. If it has not,
-    the lease ends by itself, and nothing that is still under way can take effect.
+    A claim whose answer was lost may have taken effect; the watch shows whether it has.
+    If it has not, the lease expires, after which a delayed claim under it fails.
     """
     election = tables.election
     match call, answer:
@@ -151,7 +155,8 @@
         case RenewLease(), Done():
             extend_lease(tables, sent_at, LEASE_SECONDS)
         case ClaimZone(), Done() | ConditionFailed():
-            # The watch brings who it is; until then nothing more is to be claimed.
+            # The watch will deliver the registered reader; no claim is needed until
+            # then.
             election.claim_at = now + LEASE_SECONDS
         case _, LeaseLost():
             return clear_lost_lease(tables, now)
@@ -162,13 +167,13 @@
 
 
 def extend_lease(tables: Tables, sent_at: float, ttl: float) -> None:
-    """Count a lease from the call that brought or renewed it."""
+    """Set the expiry of a lease, counted from the call that granted or renewed it."""
     tables.election.lease_deadline = sent_at + ttl
     tables.election.renew_at = sent_at + RENEWAL_FRACTION * ttl
 
 
 def clear_lost_lease(tables: Tables, now: float) -> list[Action]:
-    """Take that the lease has ended."""
+    """Clear a lease that has ended, and schedule the next claim."""
     election = tables.election
     lease, election.lease = election.lease, 0
     election.claim_at = now + RETRY_PAUSE
@@ -176,9 +181,10 @@
 
 
 def drop_unknown_lease(tables: Tables) -> None:
-    """Take that the store has come back from an older copy, without a lease perhaps.
+    """Drop the lease after a restore, unless this host is still registered.
 
-    Its number may be another host's now; renewed or ended, it would be that one's.
+    The restored store may have granted the same lease number to another host; renewing
+    or ending it would affect that host's lease.
     """
     if not is_zone_reader(tables):
         tables.election.lease = 0
@@ -186,17 +192,17 @@
 
 
 def next_election_deadline(tables: Tables) -> float:
-    """Return the time at which a call may be due, infinite while none will be.
+    """Return the time at which a call may be due, infinite if none will be.
 
-    A time that has passed would have the process look again and again for a call that
-    is not made.
+    Returning a past time while no call is made would make the event loop spin.
     """
     election = tables.election
     if tables.leave_deadline is not None:
         return -INFINITY if election.lease else INFINITY
     if zone_lacks_reader(tables):
         return election.claim_at if store_is_readable(tables) else INFINITY
-    # A reader that cannot read must not keep others from it.
+    # A zone reader that cannot read must let its lease expire, so that another takes
+    # over.
     if not election.lease or tables.reader.failures or not is_zone_reader(tables):
         return INFINITY
     return election.renew_at
--- a/citronspring/tokens/entries.py
+++ b/citronspring/tokens/entries.py
@@ -1,15 +1,15 @@
-"""What the store holds that hosts know, and what they hand on of it.
-
-Each kind of entry has a class here and one for its end. What else a kind needs is a
-place in `citronspring.tokens.tables`, a case in `citronspring.tokens.entry_updates`, one in
-`citronspring.tokens.codec`, and one in the adapter, which reads it.
-
-A store that comes back from an older copy gives its revisions out again. Compared by
-themselves, what was written since would count as old, or as read already. So hosts know
-a revision together with the epoch in which the store gave it: how often it had come
-back until then. Both stand in one number, the epoch before fifteen digits of the
-store's own count, so that what was written later has the larger one. Only a
-configuration's revision is the operators' own.
+"""Entries of the store, and the changes that hosts pass on to each other.
+
+Each kind of entry has a class here, and one for its removal. A new kind also needs a
+place in `citronspring.tokens.tables`, a case in `citronspring.tokens.entry_updates` and
+in `citronspring.tokens.codec`, and decoding in the store adapter.
+
+A store that was restored from a backup reuses revisions. Compared by themselves, new
+writes would then count as old or as already read. Hosts therefore combine a revision
+with the store's restore epoch, which counts how often the store has been restored. Both
+are held in one number, with the epoch before fifteen digits of the store's own count,
+so that a later write always has the larger number. The revision of a configuration is
+excepted, since operators assign it.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
     Kind = TypeVar("Kind", "Target", "ZoneReader", "ZoneDrain")
 
 
-#: Revisions that an epoch has room for: a million a second for thirty years.
+#: Revisions that fit into an epoch: a million per second for thirty years.
 REVISIONS_PER_EPOCH = 10**15
 
 
 def ordered_revision(epoch: int, count: int) -> int:
-    """Return the revision that a store gave as its ``count`` in an epoch.
+    """Return the combined revision for a store's ``count`` in an epoch.
 
     Raises
     ------
@@ -39,27 +39,27 @@
         If either is negative, or the count is too large for an epoch.
     """
     if epoch < 0 or not 0 <= count < REVISIONS_PER_EPOCH:
-        raise ValueError(f"no revision: {count} in epoch {epoch}")
+        raise ValueError(f"invalid revision: count {count} in epoch {epoch}")
     return epoch * REVISIONS_PER_EPOCH + count
 
 
 def epoch_of(revision: int) -> int:
-    """Return how often the store had come back from an older copy."""
+    """Return the restore epoch of a combined revision."""
     return revision // REVISIONS_PER_EPOCH
 
 
 def count_of(revision: int) -> int:
-    """Return the number by which the store itself knows a revision."""
+    """Return the store's own revision number of a combined revision."""
     return revision % REVISIONS_PER_EPOCH
 
 
 def is_of_earlier_epoch(revision: int, other: int) -> bool:
-    """Whether the store has come back from an older copy between two revisions."""
+    """Whether the store was restored from a backup between two revisions."""
     return epoch_of(revision) < epoch_of(other)
 
 
 def with_revision(entry: Kind, revision: int) -> Kind:
-    """Return an entry as it stands at another revision."""
+    """Return a copy of an entry with another revision."""
     names: tuple[str, ...] = type(entry).__match_args__
     fields = {name: getattr(entry, name) for name in names}
     return type(entry)(**{**fields, "revision": revision})
@@ -77,13 +77,13 @@
 
 @record
 class ConfigurationChange:
-    """What differs between two configurations, as hosts hand it on."""
+    """The difference between two configurations, as hosts pass it on."""
 
-    #: Revisions of both.
+    #: Revisions of both configurations.
     base: int
     revision: int
     idle_timeout: float
-    #: Routes that are new or have changed, and keys of those that are gone.
+    #: Routes that were added or changed, and keys of the removed ones.
     routes: tuple[Route, ...]
     removed: tuple[int, ...]
 
@@ -93,29 +93,29 @@
     """One incarnation of a target, as it registered itself."""
 
     target_id: str
-    #: Number of this start of the target; a packet for another one is not taken.
+    #: Number of this incarnation of the target; it refuses packets for another one.
     incarnation: int
     endpoint: Endpoint
     service: str
     zone: str
-    #: Requests it works on at once.
+    #: Number of requests that it processes at once.
     slots: int
     #: Whether it is about to stop and takes no new flows.
     leaving: bool
-    #: Seconds that it stays slow after its start, counted from when the entry was read.
+    #: Seconds of warm-up after its start, counted from when the entry was read.
     warmup: float
     #: Revision of the store at which the entry last changed.
     revision: int
-    #: Millisecond of the wall clock at which this start of the target began; tells
-    #: two starts under one id apart. None where the entry does not say.
+    #: Start time of this incarnation, in milliseconds of Unix time; distinguishes two
+    #: incarnations under one id. None if the entry does not give it.
     started: int | None = None
-    #: Rises with what this start of the target says of itself, by its own count.
+    #: Counts the states that this incarnation has published; rises with each one.
     sequence: int = 0
 
 
 @record
 class TargetRemoved:
-    """A target's entry is gone from the store."""
+    """The entry of a target was removed from the store."""
 
     target_id: str
     revision: int
@@ -123,11 +123,11 @@
 
 @record
 class ZoneReader:
-    """The host that reads the store for its availability zone, as it registered."""
+    """The host that is registered as the reader of its availability zone."""
 
     zone: str
     host_id: str
-    #: Where it hands on what it has read.
+    #: Address at which it serves its change feed.
     endpoint: Endpoint
     #: Revision of the store at which the entry last changed.
     revision: int
@@ -135,7 +135,7 @@
 
 @record
 class ReaderRemoved:
-    """The entry of a zone's reader is gone from the store."""
+    """The entry of a zone reader was removed from the store."""
 
     zone: str
     revision: int
@@ -143,32 +143,32 @@
 
 @record(eq=True)
 class ZoneDrain:
-    """Whether operators want nothing new sent to the targets of a zone."""
+    """Whether operators have drained a zone, so that its targets get no new flows."""
 
     zone: str
-    #: Revision of the store at which that last changed.
+    #: Revision of the store at which this last changed.
     revision: int
-    #: Whether the zone may be used again.
+    #: Whether the drain has ended and the zone may be used again.
     ended: bool = False
 
 
 @record
 class Unreadable:
-    """An entry that names nothing to use, as another program may have written it."""
+    """An entry that cannot be decoded, as another program may have written it."""
 
-    #: Id of the target, or the key of another entry.
+    #: Id of the target, or key of another kind of entry.
     name: str
     reason: str
     revision: int
-    #: See `Target.started`; None if that cannot be read either.
+    #: See `Target.started`; None if that cannot be decoded either.
     started: int | None = None
 
 
 if TYPE_CHECKING:
-    #: What an entry of the store holds, and what a change of one brings.
+    #: An entry of the store, and a change to one.
     Entry = Configuration | Target | ZoneReader | ZoneDrain | Unreadable
     Change = Entry | TargetRemoved | ReaderRemoved
-    #: The same as hosts hand it on.
+    #: The same as hosts pass it on.
     FeedChange = (
         ConfigurationChange
         | Target
--- a/citronspring/tokens/entry_updates.py
+++ b/citronspring/tokens/entry_updates.py
@@ -1,4 +1,4 @@
-"""Entries of the store and their removal: taken in order, never taken back."""
+"""Applying entries of the store and their removals, by ascending revision."""
 
 from __future__ import annotations
 
@@ -39,9 +39,9 @@
     from citronspring.tokens.messages import Action
     from citronspring.tokens.tables import Tables
 
-#: Seconds for which a target without an entry is still forwarded to. It may live on
-#: without reaching the store, and one that drains may serve many seconds longer.
-#: Packets name the incarnation, so nobody else takes them.
+#: Seconds for which flows to a target without an entry are still forwarded. The target
+#: may be running without reaching the store, or may be leaving and serve for many more
+#: seconds. Packets name the incarnation, so that no other target accepts them.
 GONE_RETENTION = 30.0
 
 
@@ -51,7 +51,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Put one entry or removal in force, unless something newer is already."""
+    """Apply an entry or a removal, unless a newer one has been applied."""
     changed: bool
     match change:
         case ZoneReader():
@@ -80,7 +80,7 @@
 def apply_zone_reader(
     tables: Tables, reader: ZoneReader, actions: list[Action]
 ) -> bool:
-    """Take which host reads the store for a zone; return whether it was news."""
+    """Apply a zone reader's registration; return whether it changed anything."""
     known = tables.zone_readers.get(reader.zone)
     if known is not None and known.revision >= reader.revision:
         return False
@@ -100,7 +100,7 @@
 def remove_zone_reader(
     tables: Tables, removed: ReaderRemoved, actions: list[Action]
 ) -> bool:
-    """Take that nobody reads the store for a zone; return whether it was news."""
+    """Remove a zone reader's registration; return whether it changed anything."""
     known = tables.zone_readers.get(removed.zone)
     if known is None or known.revision > removed.revision:
         return False
@@ -112,10 +112,10 @@
 
 
 def apply_zone_drain(tables: Tables, drain: ZoneDrain, actions: list[Action]) -> bool:
-    """Take whether a zone is drained; return whether it was news.
+    """Apply the drain state of a zone; return whether it changed anything.
 
-    The end of a drain is kept like its beginning: a late answer that still holds the
-    drain would otherwise leave the zone unused for as long as nobody drains it again.
+    The end of a drain is kept like its beginning. Otherwise a late answer that still
+    contains the drain would leave the zone unused until it is drained again.
     """
     known = tables.zone_drains.get(drain.zone)
     if known is not None and known.revision >= drain.revision:
@@ -137,7 +137,7 @@
 def apply_target(
     tables: Tables, target: Target, now: float, actions: list[Action]
 ) -> bool:
-    """Take what a target registered; return whether it was news."""
+    """Apply a target's entry; return whether it changed anything."""
     row = tables.targets.get(target.target_id)
     if row is None:
         row = add_target(tables, target, actions)
@@ -145,7 +145,7 @@
     elif is_outdated(row, target) or is_of_earlier_start(row, target):
         return False
     elif is_of_later_start(row, target.started):
-        # Imported when a target has started again; a start of a host needs none.
+        # Imported when a target has restarted; starting a host does not need it.
         from citronspring.tokens.restarts import replace_start
 
         row = replace_start(tables, row, target, actions)
@@ -167,17 +167,18 @@
 
 
 def is_outdated(row: TargetRow, target: Target) -> bool:
-    """Whether an entry tells nothing new of a target."""
+    """Whether an entry is not newer than what is known of a target."""
     if row.gone_at != INFINITY:
         return target.revision < row.target.revision
     return target.revision <= row.target.revision
 
 
 def repeats_known_state(row: TargetRow, target: Target) -> bool:
-    """Whether a copy of the store brings again what a target has said before.
+    """Whether a restored store repeats a state that the target has replaced.
 
-    Its revision is new, since the store gives them out again. Believed, the entry would
-    give flows to a target that has said since that it leaves; its own count tells.
+    The entry has a new revision, since the restored store reuses them. Applied, it
+    could give flows to a target that has announced since then that it leaves; the
+    target's own sequence number shows that the entry is old.
     """
     known = row.target
     return (
@@ -188,18 +189,18 @@
 
 
 def is_of_earlier_start(row: TargetRow, target: Target) -> bool:
-    """Whether an entry is not of the start of the target that is known.
+    """Whether an entry does not belong to the known start of the target.
 
-    A write may take effect seconds after its writer has ended. One of the start before
-    would bring back an address or a state that nobody has; and a program that does not
-    say which start it speaks for cannot replace what one that does has said.
+    A write may take effect seconds after its writer has ended. One of an earlier start
+    would bring back an outdated address or state. An entry without a start time, from
+    another program, cannot replace one that has one.
     """
     known = row.target.started
     return known is not None and (target.started is None or target.started < known)
 
 
 def is_of_later_start(row: TargetRow, started: int | None) -> bool:
-    """Whether a start of a target came after the one that is known."""
+    """Whether a start time of a target is later than the known one."""
     known = row.target.started
     return known is not None and started is not None and started > known
 
@@ -207,11 +208,12 @@
 def apply_unreadable(
     tables: Tables, entry: Unreadable, now: float, actions: list[Action]
 ) -> bool:
-    """Take that an entry names nothing to use; return whether that was news.
+    """Handle an entry that cannot be decoded; return whether it changed anything.
 
-    What was known of the target stays in force: it writes its entry anew within a
-    heartbeat, and other programs must not be able to take its flows away. Unless the
-    entry shows that it has started again; then what was known has ended.
+    The last valid entry of the target stays in effect: the target rewrites its entry
+    within a heartbeat, and other programs must not be able to take its flows away. If
+    the entry shows that the target has restarted, the last valid entry is outdated and
+    is removed.
     """
     fields: dict[str, object] = {"entry": entry.name, "reason": entry.reason}
     actions.append(Log(ENTRY_UNREADABLE.number, fields))
@@ -224,7 +226,7 @@
 
 
 def add_target(tables: Tables, target: Target, actions: list[Action]) -> TargetRow:
-    """Make the row of a target that was not known."""
+    """Create the row of a new target."""
     row = TargetRow(target, token_of(target.incarnation))
     row.rank = tie_break_rank(tables.host_id, target.target_id)
     row.zone_penalty = zone_penalty(tables, target)
@@ -241,10 +243,10 @@
 
 
 def list_under_service(tables: Tables, row: TargetRow) -> None:
-    """List a target under its service, unless another holds its token.
+    """List a target under its service, unless another target holds its token.
 
-    Flows of two targets under one token would reach the wrong one; the later of
-    them gets no flows.
+    Flows of two targets with one token would reach the wrong one, so the later target
+    gets no flows.
     """
     if tables.by_token.get(row.token) is not row:
         return
@@ -254,20 +256,20 @@
 
 
 def unlist_from_service(tables: Tables, row: TargetRow) -> None:
-    """Give a target no new flows."""
+    """Remove a target from its service, so that it gets no new flows."""
     rows = tables.by_service.get(row.target.service, [])
     if row in rows:
         rows.remove(row)
 
 
 def release_token(tables: Tables, row: TargetRow) -> None:
-    """Have a target's token name it no longer, if it did."""
+    """Remove the mapping of a target's token, if the target holds it."""
     if tables.by_token.get(row.token) is row:
         del tables.by_token[row.token]
 
 
 def log_target(row: TargetRow, actions: list[Action]) -> None:
-    """Log what is now believed of a target."""
+    """Log the state of a target."""
     target = row.target
     fields: dict[str, object] = {
         "target": target.target_id,
@@ -282,9 +284,9 @@
 def remove_target(
     tables: Tables, removed: TargetRemoved, now: float, actions: list[Action]
 ) -> bool:
-    """Give a target no new flows; those it has are still forwarded for a while.
+    """Remove a target's entry; its flows are still forwarded for a while.
 
-    Returns whether that was news.
+    Return whether that changed anything.
     """
     row = tables.targets.get(removed.target_id)
     if row is None or row.gone_at != INFINITY:
@@ -309,7 +311,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Put a complete list in force; what it does not hold is gone.
+    """Apply a complete list; entries that are not in it are removed.
 
     Parameters
     ----------
@@ -318,12 +320,12 @@
     entries : iterable
         Every entry of the list.
     revision : int
-        Revision of the store before the first page was read. A target that was
+        Revision of the store before the first page was read. A target that
         registered later may be on no page and is kept.
     now : float
-        Seconds.
+        Current time in seconds.
     actions : list of Action
-        Takes what is to be done.
+        Receives the resulting actions.
     """
     listed = set()
     readers = set()
@@ -360,15 +362,16 @@
 
 
 def check_restored_services(tables: Tables, revision: int, now: float) -> set[str]:
-    """Return services of which a store that came back from a copy lacks too many.
+    """Return the services of which a restored store lacks too many targets.
 
-    Also begins the time that those have who write again.
+    This also starts the grace period for rewriting entries.
     """
     read_up_to = tables.reader.revision or revision
     revisions = [read_up_to, *known_revisions(tables)]
     if not any(is_of_earlier_epoch(one, revision) for one in revisions):
         return set()
-    # Imported when the store has come back from an older copy; a start needs none.
+    # Imported when the store was restored from a backup; starting a host does not need
+    # it.
     from citronspring.tokens.restore_grace import (
         services_missing_targets,
         start_restore_grace,
@@ -379,7 +382,7 @@
 
 
 def known_revisions(tables: Tables) -> list[int]:
-    """Return the revisions of all registered targets and drains."""
+    """Return the revisions of all registered targets and active drains."""
     rows = tables.targets.values()
     targets = [row.target.revision for row in rows if row.gone_at == INFINITY]
     drains = [tables.zone_drains[zone].revision for zone in tables.drained_zones]
@@ -387,7 +390,7 @@
 
 
 def forget_targets(tables: Tables, now: float) -> None:
-    """Forget targets that have been gone for long; their tokens mean nothing more."""
+    """Delete targets that were removed long ago, together with their tokens."""
     for target_id, row in list(tables.targets.items()):
         if now - row.gone_at >= GONE_RETENTION:
             del tables.targets[target_id]
--- a/citronspring/tokens/following.py
+++ b/citronspring/tokens/following.py
@@ -1,8 +1,9 @@
-"""Taking what the zone's reader has read, for as long as it is known to be current.
+"""Following the zone reader: applying its change feed while it is current.
 
-One host of a zone reads the store and the others ask that host, so that calls to the
-store grow with zones and not with hosts. Nothing correct rests on the reader: each
-answer carries its age, and a host that is not told in time reads the store itself.
+One host of a zone reads the store and the others poll that host, so that calls to the
+store grow with the number of zones and not of hosts. Correctness does not depend on the
+zone reader: each of its answers carries its age, and a host that gets no current one in
+time reads the store itself.
 """
 
 from __future__ import annotations
@@ -29,17 +30,18 @@
     from citronspring.tokens.tables import Tables
     from citronspring.tokens.times import ReaderTimes
 
-#: Seconds after a failure of the reader until it is asked again; doubled up to the
-#: longest. Meanwhile the store is read, so this only bounds calls to a dead host.
+#: Pause in seconds before a failed zone reader is polled again; doubled up to the
+#: maximum. The store is read meanwhile, so this only limits calls to a host that may be
+#: down.
 INITIAL_RETRY_PAUSE = 1.0
 MAX_RETRY_PAUSE = 8.0
 
-#: Doublings after which the longest is reached.
+#: Number of doublings that reaches the maximum.
 MAX_DOUBLINGS = 3
 
 
 def reader_to_follow(tables: Tables, now: float) -> ZoneReader | None:
-    """Return the reader of this host's zone, None if it reads the store itself."""
+    """Return the zone reader to follow, None if this host reads the store itself."""
     reader = tables.zone_readers.get(tables.zone)
     if reader is None or reader.host_id == tables.host_id:
         return None
@@ -51,12 +53,12 @@
 def follow_call(
     tables: Tables, times: ReaderTimes, reader: ZoneReader, now: float
 ) -> FollowReader:
-    """Return the call to make to the reader.
+    """Return the call to make to the zone reader.
 
-    One that has failed is asked for an answer at once: while it is waited for, this
-    host hears of nothing else. And none is waited for until what is known here is too
-    old: a reader that falls silent after news that were old already would hold its zone
-    back beyond the bound.
+    A zone reader that has failed before is polled without a wait, since this host gets
+    no other updates while the call is open. A wait ends at the latest when this host's
+    state has become too old to be followed. Otherwise a zone reader that fails after an
+    already old answer would delay its followers beyond the bound.
     """
     age = now - tables.reader.current_at
     wait = max(min(times.follow_wait, times.follow_age - age), 0.0)
@@ -73,13 +75,14 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Put in force what the reader has read, unless it is behind.
+    """Apply an answer of the zone reader, unless it is behind.
 
-    Its answer was true when it gave it, which was ``held`` after the call arrived,
-    so no earlier than ``sent_at + held``.
+    The answer was valid when it was given, ``held`` seconds after the call arrived, so
+    no earlier than ``sent_at + held``.
 
-    A reader may have a configuration from before the store came back from an older
-    copy. Written again, that is no news to it, and its followers must read it.
+    A zone reader may hold a configuration from before the store was restored from a
+    backup. When the same revision is rewritten, the reader logs no change for it, and
+    its followers have to read it from the store.
     """
     for change in answer.changes:
         if isinstance(change, ConfigurationChange) and not is_applicable(
@@ -114,7 +117,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Take that the reader is of no use now."""
+    """Handle a failed call to the zone reader."""
     match answer:
         case AnswerTooLarge():
             cause = "its answer is too large"
@@ -130,7 +133,7 @@
 def stop_following(
     tables: Tables, cause: str, now: float, actions: list[Action]
 ) -> None:
-    """Read the store at once, and ask the reader again later."""
+    """Fall back to reading the store, and poll the zone reader again later."""
     follow = tables.follow
     doublings = min(follow.failures, MAX_DOUBLINGS)
     follow.failures += 1
@@ -146,7 +149,7 @@
 
 
 def reader_log_fields(tables: Tables, now: float) -> dict[str, object]:
-    """Return what a log line tells of the reader and of what is known."""
+    """Return the log fields that describe the zone reader and this host's state."""
     reader = tables.zone_readers.get(tables.zone)
     return {
         "reader": "" if reader is None else reader.host_id,
--- a/citronspring/tokens/peer_snapshot.py
+++ b/citronspring/tokens/peer_snapshot.py
@@ -1,4 +1,4 @@
-"""Copies of what a host knows, for peers that start while the store is away."""
+"""State snapshots for peers that start while the store is unreachable."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
     from citronspring.tokens.tables import Tables
 
-#: Status of an answer that holds a copy, and of a peer that has none to give.
+#: HTTP status of an answer with a snapshot, and of a peer that has no configuration.
 OK = 200
 NO_CONFIGURATION = 503
 
 
 def encode_snapshot(tables: Tables, now: float) -> tuple[int, bytes]:
-    """Return status and body of the answer to a peer that asks for a copy."""
+    """Return status and body for a peer that requests a snapshot."""
     if tables.configuration == 0:
-        return NO_CONFIGURATION, b"no configuration is known here\n"
+        return NO_CONFIGURATION, b"this host has no configuration yet\n"
     rows = [row for row in tables.targets.values() if row.gone_at > now]
     body = {
         "format": FORMAT_VERSION,
@@ -47,7 +47,7 @@
 
 
 def encode_configuration(tables: Tables) -> dict[str, Any]:
-    """Return the configuration in force as plain values."""
+    """Return the current configuration as JSON-compatible values."""
     return {
         "revision": tables.configuration,
         "idle_timeout": tables.idle_timeout,
@@ -56,7 +56,7 @@
 
 
 def decode_snapshot(status: int, body: bytes) -> PeerSnapshot | Refused | Unanswered:
-    """Return the copy in a peer's answer."""
+    """Return the snapshot in a peer's answer."""
     if status != OK:
         return Refused(status)
     try:
@@ -71,4 +71,4 @@
             complete=found.get("format") == FORMAT_VERSION,
         )
     except DECODE_ERRORS as error:
-        return Unanswered(f"a copy that cannot be read: {error!r}")
+        return Unanswered(f"invalid snapshot: {error!r}")
--- a/citronspring/tokens/restarts.py
+++ b/citronspring/tokens/restarts.py
@@ -1,4 +1,4 @@
-"""Targets that start again under their id."""
+"""Targets that have restarted under the same id."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 def replace_start(
     tables: Tables, row: TargetRow, target: Target, actions: list[Action]
 ) -> TargetRow:
-    """Put a new row in place of that of a target's earlier start.
+    """Replace the row of a target after it has restarted.
 
-    The new start holds no flow and has not been silent: counted on, flows that died
-    with the old one would keep new ones away from it. A packet of such a flow is still
-    forwarded, and the target itself resets it.
+    The new incarnation has no flows and no time-outs. If those of the old one were
+    kept, flows that ended with it would keep new flows away from the target. A packet
+    of such a flow is still forwarded, and the target itself resets it.
     """
     flows = [key for key, flow in tables.flows.items() if flow.target is row]
     for key in flows:
--- a/citronspring/tokens/restore_grace.py
+++ b/citronspring/tokens/restore_grace.py
@@ -1,8 +1,8 @@
-"""What a store that came back from an older copy lacks, until it is written again.
+"""Grace period for entries that a store lacks after a restore from a backup.
 
-Targets and operators write again what the store has lost. Until they can have done so,
-a missing entry is no sign that a zone may be used again, and of a service that lacks
-most of its targets none that they are gone.
+Targets and operators rewrite what the store has lost. Until they have had time for
+that, a missing drain does not mean that the zone may be used again, and a service that
+lacks most of its targets has not lost them.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
     from citronspring.tokens.messages import Action
     from citronspring.tokens.tables import Tables
 
-#: Seconds after which a target that lives has written its entry again: two, and half a
-#: second for its way here.
+#: Seconds after which a running target has rewritten its entry: two, and half a second
+#: until the entry arrives here.
 TARGET_REWRITE_GRACE = 2.5
 
-#: Seconds for which operators may not have written again that a zone is drained, or a
-#: newer configuration. Nobody says how soon they do. Too short, a drained zone gets
-#: flows; too long, it stays unused, and missing routes are not refused.
+#: Seconds that operators have to renew the drain of a zone, or a newer configuration.
+#: How soon they do so is unknown. If the period is too short, a drained zone gets
+#: flows; if it is too long, a zone stays unused, and missing routes are not refused.
 OPERATOR_REWRITE_GRACE = 10.0
 
-#: Share of a service's targets that the store must hold for the others to be taken as
-#: gone at once.
+#: Share of a service's targets that the store must hold for the missing ones to count
+#: as removed immediately.
 MIN_PRESENT_RATIO = 0.5
 
 
 def start_restore_grace(tables: Tables, revision: int, now: float) -> None:
-    """Give entries that a list lacks their time, once in each epoch of the store."""
+    """Start the grace period for missing entries, once per restore epoch."""
     grace = tables.restore_grace
     if grace.epoch == epoch_of(revision):
         return
@@ -45,11 +45,11 @@
 
 
 def services_missing_targets(tables: Tables, revision: int) -> set[str]:
-    """Return the services of which a list holds less than half of what was known.
+    """Return the services of which a list holds less than half of the known targets.
 
-    Most of what such a list lacks has been lost with the copy, and what it holds would
-    have to carry all. Of other services it is as likely that a target has ended, which
-    must not get flows any more.
+    Most of what such a list lacks was lost with the restore, and the targets that it
+    holds would have to carry the whole load. In other services a missing target has
+    just as likely stopped and must get no more flows.
     """
     known: Counter[str] = Counter()
     present: Counter[str] = Counter()
@@ -68,7 +68,7 @@
 
 
 def expired_entries(tables: Tables, now: float) -> list[TargetRemoved | ZoneDrain]:
-    """Return the ends of what has not been written again in time."""
+    """Return removals for the entries that were not rewritten in time."""
     grace, revision = tables.restore_grace, tables.reader.revision
     removals: list[TargetRemoved | ZoneDrain] = []
     if now >= grace.targets_deadline:
@@ -90,6 +90,6 @@
 
 
 def expire_missing_entries(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Take what nobody has written again in time for gone."""
+    """Remove the entries that were not rewritten in time."""
     for removal in expired_entries(tables, now):
         apply_change(tables, removal, now, actions)
--- a/citronspring/tokens/routes.py
+++ b/citronspring/tokens/routes.py
@@ -1,4 +1,4 @@
-"""The configuration in force: its routes, turned from one revision into the next."""
+"""The current configuration: its routes, and the update to the next revision."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 def apply_configuration(
     tables: Tables, configuration: Configuration, actions: list[Action]
 ) -> ConfigurationChange | None:
-    """Put a configuration in force if it is newer than the one that is.
+    """Apply a configuration if it is newer than the current one.
 
-    Returns what differs; None if it was not newer. A late or stale answer can bring an
-    older one; applied, it would bring removed routes back.
+    Return the difference, None if it was not newer. A late or stale answer may contain
+    an older configuration, which would bring removed routes back.
     """
     if configuration.revision <= tables.configuration:
         return None
@@ -32,10 +32,10 @@
 def apply_difference(
     tables: Tables, change: ConfigurationChange, actions: list[Action]
 ) -> None:
-    """Turn the configuration that is in force into the next one.
+    """Update the current configuration by a difference.
 
-    Only routes that differ are touched. Openings would wait on small hosts while a
-    change of one route made thousands anew.
+    Only routes that differ are changed. Rebuilding thousands of routes for a change of
+    one would delay openings on small hosts.
     """
     fields: dict[str, object] = {
         "revision": change.revision,
@@ -52,7 +52,7 @@
 
 
 def remove_route(tables: Tables, key: int) -> None:
-    """Take a route away, if there is one."""
+    """Remove a route if it exists."""
     route = tables.routes.pop(key, None)
     if route is not None:
         del tables.route_services[key]
@@ -61,7 +61,7 @@
 
 
 def set_route(tables: Tables, route: Route) -> None:
-    """Add a route, or put it in the place of the one that is."""
+    """Add or replace a route."""
     known = tables.routes.get(route.key)
     if known is not None:
         count_priority(tables, known, -1)
@@ -72,7 +72,7 @@
 
 
 def count_priority(tables: Tables, route: Route, step: int) -> None:
-    """Count a route under its priority; one without routes is not kept."""
+    """Count a route under its priority; drop a priority without routes."""
     tables.priorities[route.priority] += step
     if not tables.priorities[route.priority]:
         del tables.priorities[route.priority]
@@ -81,7 +81,7 @@
 def diff_configuration(
     routes: dict[int, Route], before: int, after: Configuration
 ) -> ConfigurationChange:
-    """Return what differs between the routes in force and a configuration."""
+    """Return the difference between the current routes and a configuration."""
     wanted = {route.key: route for route in after.routes}
     changed = [route for key, route in wanted.items() if routes.get(key) != route]
     removed = routes.keys() - wanted.keys()
@@ -91,7 +91,7 @@
 
 
 def is_applicable(tables: Tables, change: ConfigurationChange) -> bool:
-    """Whether a difference can be applied here, or is no news."""
+    """Whether a difference starts at the current configuration, or is outdated."""
     return tables.configuration in (change.base, change.revision) or (
         tables.configuration > change.revision
     )
@@ -100,9 +100,9 @@
 def apply_configuration_change(
     tables: Tables, change: ConfigurationChange, actions: list[Action]
 ) -> bool:
-    """Put in force what differs from the configuration that is; return if it was news.
+    """Apply a difference to the current configuration; return whether it was newer.
 
-    The caller has made sure that it `is_applicable`.
+    The caller has checked `is_applicable`.
     """
     if change.revision <= tables.configuration:
         return False
--- a/citronspring/tokens/store_reader.py
+++ b/citronspring/tokens/store_reader.py
@@ -1,4 +1,4 @@
-"""What the host asks the store, when, and how current that makes it."""
+"""Reading the store: which call to make, when, and how current the state is."""
 
 from __future__ import annotations
 
@@ -49,45 +49,46 @@
     from citronspring.tokens.tables import Tables
     from citronspring.tokens.times import ReaderTimes
 
-#: Seconds that an answer may take beyond what was asked for: a hundred times the
-#: usual 4 ms, so that a store that answers sixty times slower is still read.
+#: Timeout of an answer, in seconds, beyond the wait that was requested: a hundred times
+#: the usual 4 ms, so that a store that answers sixty times slower is still read.
 ANSWER_TIMEOUT = 0.5
 
-#: Longest slack in seconds, reached by doubling when answers stay away. A store
-#: slower than that cannot be told from one that is down.
+#: Upper bound of that timeout in seconds, reached by doubling on failures. A slower
+#: store cannot be distinguished from one that is down.
 MAX_ANSWER_TIMEOUT = 2.0
 
-#: Seconds between a failure and the next call; doubled up to the longest.
+#: Pause in seconds between a failure and the next call; doubled up to the maximum.
 INITIAL_RETRY_PAUSE = 0.2
 MAX_RETRY_PAUSE = 0.8
 
-#: Doublings after which both have reached their longest. Counted without end, an
-#: outage of a quarter of an hour would overflow the power and end the process.
+#: Number of doublings that reaches both upper bounds. Without this limit, an outage of
+#: a quarter of an hour would overflow the power and crash the process.
 MAX_DOUBLINGS = 2
 
 #: Seconds by which the store's timer may run ahead of the host's: a tenth of the
-#: shortest time that matters here, and more than clocks differ in a watch.
+#: shortest time that matters here, and more than clocks drift during a watch.
 TIMER_MARGIN = 0.01
 
-#: Seconds between news and the next watch. Targets come and go in groups, and one
-#: answer then brings several. A fifth of the tightest bound; what callers' packets
-#: tell of a target does not wait for it.
+#: Pause in seconds between changes and the next watch. Targets come and go in groups,
+#: and one answer then brings several. It is a fifth of the tightest bound; what
+#: callers' packets show about a target does not wait for it.
 WATCH_PAUSE = 0.6
 
 
-#: Seconds by which a host that reads for itself wants to be confirmed before what it
-#: knows is too old for that: forty times the usual answer.
+#: Seconds before its state becomes too old at which a host that reads the store itself
+#: wants a confirmation; forty times the usual response time.
 CURRENT_MARGIN = 0.15
 
 
 def next_call(tables: Tables, times: ReaderTimes, now: float) -> StoreCall | None:
-    """Return the call to make now, None while it is not yet time."""
+    """Return the call that is due, None if none is."""
     reader = tables.reader
     if now < reader.call_at:
         return None
     if tables.configuration == 0 and tables.peers and reader.failures % 2:
-        # A host that starts while the store is away would serve nobody until its
-        # return. Peers and store are asked by turns, as either may be away.
+        # A host that starts while the store is unreachable would serve nobody until it
+        # is back. The host asks peers and the store by turns, since either may be
+        # unreachable.
         return ReadPeer(reader.failures // 2)
     if not reader.listed:
         return ListEntries(reader.next_key)
@@ -95,17 +96,18 @@
     if reader.wants_immediate_answer and (zone_reader is None or not reader.failures):
         return WatchEntries(reader.revision, 0.0)
     if zone_reader is not None:
-        # Also when the store serves others and not this host.
+        # This also covers a store that serves other hosts but not this one.
         return follow_call(tables, times, zone_reader, now)
     return WatchEntries(reader.revision, watch_wait(tables, times, now))
 
 
 def watch_wait(tables: Tables, times: ReaderTimes, now: float) -> float:
-    """Return the seconds that a watch may wait for news.
+    """Return the seconds that a watch may wait for changes.
 
-    One that brings news vouches only for the moment at which it went out. With a full
-    wait after it, a reader's knowledge grew too old to be followed before the next
-    answer, and a change every three seconds sent whole zones to the store each time.
+    An answer with changes confirms the state only as of the time at which the watch was
+    sent. If the next watch then waited its full time, a zone reader's state became too
+    old for its followers before the next answer, and a change every three seconds sent
+    whole zones to the store each time.
     """
     age = now - tables.reader.current_at
     if is_zone_reader(tables):
@@ -116,7 +118,7 @@
 
 
 def answer_deadline(tables: Tables, call: StoreCall, now: float) -> float:
-    """Return the time at which a call that goes out now is given up."""
+    """Return the deadline of a call that is sent now."""
     if isinstance(call, FollowReader):
         return now + call.wait + FOLLOW_SLACK
     doublings = min(tables.reader.failures, MAX_DOUBLINGS)
@@ -126,15 +128,15 @@
 
 
 def largest_answer(times: ReaderTimes, call: StoreCall) -> float:
-    """Return the bytes beyond which an answer to a call is not taken."""
+    """Return the largest accepted size of a call's answer, in bytes."""
     return times.largest_watch if isinstance(call, WatchEntries) else INFINITY
 
 
 def is_current(tables: Tables, times: ReaderTimes, now: float) -> bool:
-    """Whether every change older than the bound is certainly in force here.
+    """Whether every change that is older than the bound has been applied here.
 
-    A store that has come back from an older copy vouches for what it holds, which may
-    be less than what operators were told is accepted.
+    A store that was restored from a backup only confirms what it holds, which may be
+    less than what it had accepted from operators.
     """
     fresh = now - tables.reader.current_at <= times.current
     return fresh and not tables.restore_grace.awaits_operators
@@ -148,23 +150,23 @@
     sent_at: float,
     now: float,
 ) -> list[Action]:
-    """Put in force what a call brought and plan the next one.
+    """Apply the answer to a call and plan the next call.
 
     Parameters
     ----------
     tables : Tables
         All state.
     times : ReaderTimes
-        Time limits of calls to the store.
+        Timeouts of calls to the store.
     call : StoreCall
         The call.
     answer : StoreAnswer
-        What came back.
+        The answer.
     sent_at : float
-        When the call went out. The answer may have waited on its way, so it only
-        shows what was true then.
+        Time at which the call was sent. The answer may have been delayed, so it
+        only confirms the state as of then.
     now : float
-        Seconds.
+        Current time in seconds.
     """
     actions: list[Action] = []
     tables.histograms["store_call"].record(max(now - sent_at, 0.0))
@@ -202,10 +204,11 @@
 def handle_lost_history(
     tables: Tables, epoch: int, now: float, actions: list[Action]
 ) -> None:
-    """Take that no watch can go on from what is known; ``epoch`` is the store's.
+    """Handle a lost watch history by listing all entries.
 
-    Everything is listed at once, unless the watch after a list met the same: a fleet
-    that lists without a pause would keep the store from everybody else.
+    ``epoch`` is the store's restore epoch. The list starts immediately, unless the
+    watch after the previous list has met the same: a fleet that lists without a pause
+    would overload the store.
     """
     reader = tables.reader
     fields: dict[str, object] = {"revision": reader.revision, "epoch": epoch}
@@ -217,7 +220,7 @@
 
 
 def restart_list(tables: Tables) -> None:
-    """Have everything read anew."""
+    """Start a new list of all entries."""
     reader = tables.reader
     reader.listed = False
     reader.next_key = ""
@@ -227,14 +230,15 @@
 def handle_page(
     tables: Tables, page: Page, sent_at: float, now: float, actions: list[Action]
 ) -> None:
-    """Collect a page; put the list in force after the last one."""
+    """Collect a page; apply the list after the last one."""
     reader = tables.reader
     if reader.next_key == "":
         reader.list_revision = page.revision
         reader.list_sent_at = sent_at
     reader.call_at = now
     if epoch_of(page.revision) != epoch_of(reader.list_revision):
-        # The pages before this one are of a history that the store has lost.
+        # The pages before this one belong to a history that the restored store has
+        # lost.
         restart_list(tables)
         return
     reader.list_entries += page.entries
@@ -248,8 +252,8 @@
         drop_unknown_lease(tables)
     if reader.list_revision > reader.revision:
         tables.change_log.skipped = (reader.revision, reader.list_revision)
-    # The pages are no snapshot: the watch begins where the first one stood, and
-    # brings again what changed meanwhile.
+    # The pages are no consistent snapshot. The watch starts at the revision of the
+    # first page, and so repeats what has changed since.
     reader.revision = max(reader.revision, reader.list_revision)
     reader.current_at = max(reader.current_at, reader.list_sent_at)
     if tables.change_log.compacted_revision:
@@ -261,7 +265,7 @@
 
 
 def newest_of(entries: list[Entry]) -> int:
-    """Return the largest revision of the store among entries."""
+    """Return the largest store revision among entries."""
     return max(
         (entry.revision for entry in entries if not isinstance(entry, Configuration)),
         default=0,
@@ -269,7 +273,7 @@
 
 
 def log_list(tables: Tables, actions: list[Action]) -> None:
-    """Log where the store stands, and whether it has come back from an older copy."""
+    """Log the store's revision, and whether it was restored from a backup."""
     reader = tables.reader
     fields: dict[str, object] = {
         "revision": count_of(reader.list_revision),
@@ -284,7 +288,7 @@
 
 
 def store_was_restored(tables: Tables) -> bool:
-    """Whether the list that was read is of a later epoch than what is known."""
+    """Whether the completed list has a later restore epoch than the known state."""
     reader = tables.reader
     known = reader.revision > 0
     return known and is_of_earlier_epoch(reader.revision, reader.list_revision)
@@ -297,21 +301,21 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Put in force what a peer knows; the store is asked for what came after.
+    """Apply a peer's snapshot; the store is asked for what came after it.
 
-    Its age is the peer's, so a copy from a peer that is cut off too makes nothing
-    current.
+    The snapshot keeps the age of the peer's state, so one from a peer that is
+    partitioned as well makes nothing current.
     """
     reader = tables.reader
     entries: list[Entry] = [snapshot.configuration, *snapshot.entries]
     if snapshot.complete:
         apply_list(tables, entries, snapshot.revision, now, actions)
     else:
-        # What is missing may just have been left out.
+        # The snapshot may just have omitted what is missing.
         for entry in entries:
             apply_change(tables, entry, now, actions)
     restart_list(tables)
-    # A watch tells of changes only: what a peer has left out is to be listed.
+    # A watch reports only changes, so what a peer has omitted must be listed.
     reader.listed = snapshot.complete
     reader.revision = max(reader.revision, snapshot.revision)
     start_change_log(tables)
@@ -333,10 +337,10 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Put the news of a watch in force, oldest first.
+    """Apply the changes of a watch, oldest first.
 
-    Of a store that has come back from an older copy meanwhile, they are not all: it
-    gives revisions out again, also below the one that the watch was asked for.
+    If the store was restored from a backup meanwhile, they are incomplete: the store
+    reuses revisions, also below the one that the watch started at.
     """
     if answer.epoch != epoch_of(tables.reader.revision):
         handle_lost_history(tables, answer.epoch, now, actions)
@@ -357,10 +361,10 @@
 def unchanged_seconds(
     call: StoreCall, answer: Changes, sent_at: float, now: float
 ) -> float:
-    """Return the seconds after its sending for which a watch heard of no change.
+    """Return the seconds after it was sent for which a watch saw no change.
 
-    The store says that there is no news only after it has waited for the whole time;
-    an answer that comes sooner shows no more than that there was none at first.
+    The store reports that there is no change only after the full wait. An answer that
+    comes sooner only shows that there was none at first.
     """
     if answer.changes or not isinstance(call, WatchEntries):
         return 0.0
@@ -369,7 +373,7 @@
 
 
 def note_success(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Take that the store answers."""
+    """Record that the store has answered."""
     reader = tables.reader
     if reader.failures:
         fields: dict[str, object] = {
@@ -382,7 +386,7 @@
 
 
 def note_failure(tables: Tables, cause: str, now: float, actions: list[Action]) -> None:
-    """Take that a call brought nothing; what is known stays in force."""
+    """Record a failed call; the known state stays in effect."""
     reader = tables.reader
     if reader.failures == 0:
         fields: dict[str, object] = {
@@ -398,7 +402,7 @@
 
 
 def retry_pause(failures: int) -> float:
-    """Return the seconds until the next call after some failures before this one."""
+    """Return the pause before the next call, after ``failures`` earlier failures."""
     return min(
         INITIAL_RETRY_PAUSE * 2.0 ** min(failures, MAX_DOUBLINGS), MAX_RETRY_PAUSE
     )
--- a/citronspring/tokens/times.py
+++ b/citronspring/tokens/times.py
@@ -1,74 +1,75 @@
-"""How long calls of a host may wait, by what hosts must keep."""
+"""Timeouts of a host's calls, derived from its guarantees."""
 
 from __future__ import annotations
 
 from citronspring.light_stdlib import INFINITY
 from citronspring.records import record
 
-#: Share of the configuration bound that a watch waits for news at most. While it
-#: waits nothing confirms what is known, and a missing route is only refused on
-#: knowledge that is younger than `CURRENT_SHARE` of the bound.
+#: Largest share of the configuration bound for which a watch waits. While it waits,
+#: nothing confirms the known state, and a missing route is refused only if that state
+#: is younger than `CURRENT_SHARE` of the bound.
 WATCH_SHARE = 0.75
 
-#: Seconds of the settling time that must be left when a watch is given up: 0.5 s of
-#: slack, 0.2 s to the next call, 0.6 s to connect and be answered. A watch that a
-#: trouble has swallowed is then made up for before the host counts as settled.
+#: Seconds of the settling time that must remain when a watch times out: 0.5 s of slack,
+#: 0.2 s until the next call, and 0.6 s to connect and get an answer. A watch that was
+#: lost in a fault is then repeated before the host counts as settled.
 SETTLING_RESERVE = 1.3
 
-#: Share of the configuration bound that the watch of a zone's reader waits at most.
-#: Shorter than that of a host which reads for itself: if the reader is cut off, the
-#: hosts that follow it notice one watch later, and must still read within the bound.
+#: Largest share of the configuration bound for which the watch of a zone reader waits.
+#: It is shorter than that of a host that reads the store itself: if the zone reader is
+#: partitioned, its followers notice it one watch later and must still read the store
+#: within the bound.
 ZONE_READER_WATCH_SHARE = 0.5
 
-#: Seconds between news and the next watch of a zone's reader: whole zones wait for
-#: what it reads, and one call serves all of their hosts.
+#: Pause in seconds between changes and the next watch of a zone reader. It is short
+#: because whole zones wait for the zone reader, and one call serves all of their hosts.
 ZONE_READER_PAUSE = 0.25
 
-#: Seconds beyond its longest silence after which a reader counts as lost: a hundred
-#: times the way within a zone, and longer than a process waits for its processor.
+#: Seconds beyond its longest wait after which a zone reader counts as failed: a hundred
+#: times the latency within a zone, and longer than a process waits for its processor.
 FOLLOW_SLACK = 0.3
 
-#: Share of the configuration bound for which one answer of a watch may fill the
-#: host's link. A watch brings each version in full, a list the newest alone: of
-#: twenty versions of 700 KB, a watch kept a link of 5 Mbit/s busy for 21 s.
+#: Share of the configuration bound for which one answer of a watch may occupy the
+#: host's link. A watch transfers each version in full, a list only the newest: with
+#: twenty versions of 700 KB, a watch occupied a link of 5 Mbit/s for 21 s.
 WATCH_LINK_SHARE = 0.25
 
-#: Share of the bound within which what the host knows must have been confirmed for
-#: it to call a route missing.
+#: Share of the bound within which the host's state must have been confirmed for it to
+#: refuse a missing route.
 CURRENT_SHARE = 0.8
 
 
 @record
 class ReaderTimes:
-    """Limits of calls, derived from what hosts must keep."""
+    """Timeouts of calls, derived from the host's guarantees."""
 
-    #: Seconds a watch waits.
+    #: Seconds that a watch waits.
     wait: float
-    #: Seconds for which the host counts as current after a confirmation.
+    #: Seconds after a confirmation for which the host counts as current.
     current: float
-    #: Seconds a watch waits at a host that reads for its zone.
+    #: Seconds that the watch of a zone reader waits.
     zone_reader_wait: float
-    #: Seconds that a host waits for its zone's reader at most.
+    #: Largest number of seconds that a host waits for its zone reader.
     follow_wait: float
-    #: Oldest knowledge of a reader, in seconds, that is followed.
+    #: Largest age of a zone reader's state, in seconds, at which it is followed.
     follow_age: float
-    #: Bytes of a watch's answer beyond which everything is listed instead.
+    #: Size of a watch's answer in bytes beyond which everything is listed instead.
     largest_watch: float
 
     @classmethod
     def from_bounds(
         cls, change: float, settling: float, link_rate: float = INFINITY
     ) -> ReaderTimes:
-        """Derive the limits.
+        """Return the timeouts for the given guarantees.
 
         Parameters
         ----------
         change : float
-            Seconds within which a change of configuration must be in force.
+            Seconds within which a change of configuration must be applied.
         settling : float
-            Seconds after a trouble from which that holds again.
+            Seconds after a fault from which that holds again.
         link_rate : float
-            Bytes a second that the host's link carries.
+            Bandwidth of the host's link in bytes per second.
         """
         wait = max(min(WATCH_SHARE * change, settling - SETTLING_RESERVE), 0.0)
         zone_reader_wait = min(ZONE_READER_WATCH_SHARE * change, wait)
--- a/tests/test_tokens/test_change_feed.py
+++ b/tests/test_tokens/test_change_feed.py
@@ -1,4 +1,4 @@
-"""What the reader of a zone hands on, and when it had better not."""
+"""Tests of the change feed: what the zone reader serves, and when it must refuse."""
 
 from __future__ import annotations
 
@@ -65,16 +65,16 @@
 
 
 def draining_in(feed):
-    """Return the targets that a reader's answer says are leaving."""
+    """Return the targets that are leaving according to a zone reader's answer."""
     targets = [change for change in feed.changes if isinstance(change, Target)]
     return {target.target_id for target in targets if target.leaving}
 
 
 def test_entry_newer_than_the_first_page_is_served():
-    """A target says that it leaves while the zone's reader reads the store in pages.
+    """A target starts to leave while the zone reader lists the store page by page.
 
-    A follower that has read up to the first page hears nothing of it: the reader's
-    watch brings it again, and it is no news there any more.
+    A follower that has read up to the first page would not hear of it: the zone
+    reader's watch brings the entry again, but it is no change there any more.
     """
     driver = make_zone_reader(make_target(1), make_target(2))
     next_call(driver)
@@ -92,10 +92,10 @@
 
 
 def test_follower_within_a_skipped_range_reads_the_store():
-    """A target registers and goes while the zone's reader has lost history.
+    """A target registers and disappears while the zone reader has lost the history.
 
-    A follower read the store in between, by itself. The list of its reader, which never
-    knew the target, tells nothing of it, and the follower would use it for good.
+    A follower read the store itself in between. The zone reader's list never contained
+    the target, so the follower would keep it forever.
     """
     driver = make_zone_reader(make_target(1))
     for _ in range(2):
@@ -108,10 +108,10 @@
 
 
 def test_change_of_the_zone_reader_is_served():
-    """A reader loses its registration and goes on; another host is registered.
+    """A zone reader loses its registration to another host and continues to serve.
 
-    Its followers read on from its revision, past the news of the other host. Not
-    told of it, they would never follow anybody once this reader is gone.
+    Its followers read on from its revision, past the change of the registration. If
+    that were not passed on, they would follow no host once this reader is gone.
     """
     driver = make_zone_reader()
     other = ZoneReader("north", "host-7", Endpoint("10.1.0.7", 8166), 4)
@@ -156,9 +156,9 @@
 
 
 def test_follower_too_far_behind_is_sent_to_the_store():
-    """A host comes back to a reader that has let the changes go which it missed.
+    """A host returns to a zone reader whose log no longer holds what it missed.
 
-    Given only the newer ones, it would never hear of a removed target.
+    With only the newer changes, it would never hear of a removed target.
     """
     driver = make_zone_reader()
     assert isinstance(poll_reader(driver, after=0), HistoryLost)
@@ -169,10 +169,10 @@
 
 
 def test_changes_of_a_second_list_are_served():
-    """The store forgets its history while watches hear nothing; a target has gone.
+    """A target is removed while the store loses its history and watches stay silent.
 
-    The reader finds that out from a list. Its followers, at the same revision as the
-    reader was, have missed it as well.
+    The zone reader learns of it from a list. Its followers, which were at the same
+    revision, have missed it too.
     """
     driver = make_zone_reader(make_target(1), make_target(2))
     driver.answer(HistoryLost())
@@ -201,10 +201,10 @@
 
 
 def test_watch_without_changes_confirms_its_wait():
-    """A watch without news shows that nothing changed while it waited.
+    """A watch without changes confirms the state for the time that it waited.
 
-    Taken for its beginning only, a host would call its knowledge old by a whole
-    watch at the moment at which it was confirmed.
+    If it confirmed only its start, a host would consider its state old by a whole watch
+    at the moment of the confirmation.
     """
     driver = make_zone_reader()
     next_call(driver)
@@ -218,8 +218,8 @@
 def test_watch_that_ends_slightly_early_confirms_its_wait():
     """The store's timer runs ahead of the host's by a millisecond.
 
-    Taken for an early end, the host would call its knowledge a whole watch older,
-    and all that follow it would turn to the store.
+    If the answer counted as early, the host's state would seem older by a whole watch,
+    and all its followers would turn to the store.
     """
     driver = make_zone_reader()
     next_call(driver)
@@ -239,9 +239,9 @@
 
 
 def test_change_of_one_route_among_many_is_small():
-    """A configuration of 240 routes changes, and fourteen hosts wait for it.
+    """A configuration of 240 routes changes while fourteen hosts poll for it.
 
-    Handed on whole it kept the reader's link of 5 Mbit/s full for a second: callers'
+    Sent in full, it saturated the zone reader's link of 5 Mbit/s for a second: callers'
     packets were lost, and flows broke.
     """
     routes = [make_route(PREVIEWS + number) for number in range(240)]
@@ -259,10 +259,10 @@
 
 
 def test_followers_use_only_a_share_of_the_link():
-    """A configuration grows by 1,400 routes, and a whole zone waits for it.
+    """A configuration grows by 1,400 routes while a whole zone polls for it.
 
-    The first followers get it. When the reader's share of its link is used up, the
-    others are sent to the store, and callers' packets keep their room.
+    The first followers get it. Once the share of the zone reader's link is used up, the
+    others are sent to the store, so that callers' packets are not displaced.
     """
     driver = make_zone_reader()
     driver.tables.change_log.rate = 50_000.0
@@ -278,7 +278,7 @@
 
 
 class CountedLog(deque):
-    """A log of changes that counts how many are looked at."""
+    """A change log that counts how many entries are examined."""
 
     examined = 0
 
@@ -295,10 +295,10 @@
 
 
 def test_waiting_polls_do_not_scan_the_log():
-    """Fourteen hosts wait for news while a reader forwards its callers' packets.
+    """Fourteen hosts poll while a zone reader forwards its callers' packets.
 
-    Asked about at each turn of the process, they must not cost it a look at each of
-    a thousand changes: a reader spent a fifth of a core on that.
+    Polls are checked in each event-loop iteration. Scanning a thousand changes each
+    time took a fifth of a zone reader's core.
     """
     driver = make_zone_reader()
     for number in range(500):
@@ -314,12 +314,12 @@
 
 
 def test_zone_of_25_hosts_gets_1400_routes_from_its_reader_within_a_second():
-    """A configuration grows by 1,400 routes; a zone's reader has a link of 100 Mbit/s.
+    """A configuration grows by 1,400 routes; the zone reader's link has 100 Mbit/s.
 
-    As plain text the difference has 185 KB, and a twentieth of the link carries it to
+    As plain text the difference takes 185 KB, and a twentieth of the link carries it to
     three followers. The others read the whole configuration from the store, 700 KB
-    each, for which links of 5 Mbit/s take over a second: 68 of 77 followers logged
-    626 "too far behind it".
+    each, which takes over a second on links of 5 Mbit/s: 68 of 77 followers logged 626
+    "too far behind it".
     """
     driver = make_zone_reader()
     driver.tables.change_log.rate = 625_000.0
@@ -338,15 +338,15 @@
 
 
 def make_named_route(draw, number):
-    """Return a route with a drawn name, as operators' names differ."""
+    """Return a route with a random name, since operators' names differ."""
     name = "r-" + "".join(draw.choices("abcdefghijklmnopqrstuvwxyz0123456789", k=7))
     return Route(name, PREVIEWS + number, (Share("previews", 1.0),), True, 0.327, 2)
 
 
 def test_difference_is_encoded_once_for_all_followers(monkeypatch):
-    """Twenty-five hosts wait for 1,400 routes, and their reader is a small host.
+    """Twenty-five hosts poll for 1,400 routes, and their zone reader is a small host.
 
-    Written anew for each of them, 2 ms of processor each time, it would hold up
+    Encoding takes 2 ms of processor time. If it ran for each follower, it would delay
     callers' packets for a third of a second on a sixth of a core.
     """
     driver = make_zone_reader()
@@ -366,7 +366,7 @@
 
 @pytest.mark.parametrize("size", [1, 10, 100])
 def test_corrupted_answer_counts_as_unanswered(size):
-    """A compressed answer arrives cut, or is none; the follower reads the store."""
+    """A compressed answer is truncated or corrupted; the follower reads the store."""
     driver = make_zone_reader()
     routes = [make_route(PREVIEWS + number) for number in range(200)]
     driver.change(make_configuration(5, routes))
@@ -379,12 +379,13 @@
 
 @pytest.mark.parametrize("waited", [0.0, 0.4, 0.9, 1.4])
 def test_change_late_in_a_watch_loses_no_follower(waited):
-    """Operators change a route every three seconds, and a reader loses its zone.
+    """Operators change a route every three seconds; a zone reader loses its followers.
 
-    A watch that brings news vouches only for the moment at which it was sent. The
-    next one waited its full time, and before its end what the reader knew was too
-    old to be followed: all 77 followers of three zones got status 503 at each of five
-    changes (626, 640 "not current"), and read a configuration of 1 MB from the store.
+    A watch that brings changes confirms the state only as of the time at which it was
+    sent. The next watch waited its full time, and before it ended the zone reader's
+    state was too old to be followed: all 77 followers of three zones got status 503 at
+    each of five changes (626, 640 "not current"), and read a configuration of 1 MB from
+    the store.
     """
     driver = make_zone_reader()
     for number in range(5):
--- a/tests/test_tokens/test_drains.py
+++ b/tests/test_tokens/test_drains.py
@@ -1,4 +1,4 @@
-"""Nothing new goes to the targets of a zone that operators drain."""
+"""Tests of zone drains: no new flow goes to a target of a drained zone."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def drain(driver, zone="north"):
-    """Have operators drain a zone."""
+    """Drain a zone as operators do."""
     driver.change(ZoneDrain(zone, driver.revision + 1))
 
 
@@ -56,7 +56,7 @@
 
 
 def test_new_flows_go_to_other_zones():
-    """Operators drain the host's own zone, whose targets come first otherwise."""
+    """Operators drain the host's own zone, whose targets are preferred otherwise."""
     driver = Driver(make_target(1), make_target(2, "south"))
     drain(driver)
     assert placed(driver, range(6)) == {"i-2"}
@@ -86,7 +86,7 @@
 
 
 def test_open_flow_stays_to_its_end():
-    """A drain is planned work: no flow may break for it."""
+    """A drain is planned maintenance and must not break flows."""
     driver = Driver(make_target(1), make_target(2, "south"))
     caller = driver.caller(1)
     row = caller.connect()
@@ -108,7 +108,7 @@
 
 
 def test_second_attempt_of_a_opening_goes_elsewhere():
-    """The first target has not answered, and its zone is drained meanwhile."""
+    """The zone of the first target is drained before the target has answered."""
     driver = Driver(make_target(1), make_target(2), make_target(3, "south"))
     action = driver.caller(1).open()
     assert action.target.target.zone == "north"
@@ -118,7 +118,7 @@
 
 
 def test_retransmitted_opening_goes_elsewhere():
-    """The caller sends its opening again, just after its target's zone was drained."""
+    """The caller retransmits its opening just after its target's zone was drained."""
     driver = Driver(make_target(1), make_target(3, "south"))
     caller = driver.caller(1)
     assert target_of(caller.open()) == "i-1"
@@ -127,7 +127,7 @@
 
 
 def test_retransmitted_opening_of_an_open_flow_is_dropped():
-    """Sent on, it would count as an opening at a target that is to get none."""
+    """Forwarded, it would count as an opening to a target that must get none."""
     driver = Driver(make_target(1), make_target(3, "south"))
     caller = driver.caller(1)
     first = caller.seq
@@ -141,7 +141,7 @@
 
 
 def test_flow_that_only_drained_targets_could_serve_is_refused():
-    """A service has targets in a drained zone only; its callers learn so at once."""
+    """A service has targets in a drained zone only; its callers are told at once."""
     driver = Driver(make_target(1))
     drain(driver)
     assert reason_of(driver.caller(1).open()) is ResetReason.ZONE_DRAINED
@@ -158,7 +158,7 @@
 
 
 def test_drain_ends_when_a_list_lacks_it():
-    """The drain ended while history was lost, or the host was cut off."""
+    """The drain ended while the history was lost or the host was partitioned."""
     driver = Driver(make_target(1), make_target(2, "south"))
     drain(driver)
     driver.answer(HistoryLost())
@@ -217,7 +217,7 @@
 
 
 def test_answer_of_a_reader_without_drains_is_refused():
-    """A reader of an older release leaves drains out; followers read the store."""
+    """A zone reader of an older release omits drains; its followers read the store."""
     reader = make_zone_reader()
     status, body = reader.core.answer_poll(make_poll(reader), reader.now)
     plain = json.loads(body)
@@ -233,7 +233,7 @@
 
 
 def test_snapshots_contain_drains():
-    """All hosts start anew while the store is away; a peer still knows."""
+    """All hosts restart while the store is unreachable; a peer knows the drain."""
     peer = Driver(make_target(1), make_target(2, "south"))
     drain(peer)
     driver = restarted_host(Driver(make_target(1)))
@@ -242,10 +242,10 @@
 
 
 def test_snapshot_without_drains_is_followed_by_a_list():
-    """A peer of an older release has given a copy, which says nothing of drains.
+    """A peer of an older release provides a snapshot that contains no drains.
 
-    The watch that follows would tell of changes only, and the host would place flows
-    in a zone that was drained before, for as long as that lasts.
+    The watch that follows would report changes only, and the host would place flows in
+    a zone that was drained before, for as long as the drain lasts.
     """
     peer = Driver(make_target(1), make_target(2, "south"))
     status, body = peer.core.snapshot(peer.now)
@@ -261,7 +261,7 @@
 
 
 def test_snapshot_without_drains_ends_no_drain():
-    """The host has heard of a drain, and then of the configuration by such a copy."""
+    """The host has read a drain, and then gets such a snapshot."""
     peer = Driver(make_target(1), make_target(2, "south"))
     peer.change(make_target(3, "south", revision=2))
     status, body = peer.core.snapshot(peer.now)
--- a/tests/test_tokens/test_election.py
+++ b/tests/test_tokens/test_election.py
@@ -1,4 +1,4 @@
-"""One host of a zone registers as its reader, and another one once it is gone."""
+"""Tests of the election of the zone reader."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Candidate:
-    """A host of zone north, and what it asks the store for next."""
+    """A host of zone north and its election calls."""
 
     def __init__(self):
         self.driver = Driver(make_target(1))
@@ -46,7 +46,7 @@
         self.core.handle_election_answer(call, answer, now, now)
 
     def claim_zone(self):
-        """Have the host claim its zone with success; return it."""
+        """Let the host claim its zone successfully; return it."""
         assert self.next_call() is None
         self.driver.now += DELAY
         self.answer(self.next_call(), LeaseGranted(7, LEASE_SECONDS))
@@ -56,7 +56,7 @@
         return self
 
     def register(self):
-        """Have the host hear that it is the reader; return it."""
+        """Let the host learn that it is the zone reader; return it."""
         self.claim_zone()
         self.driver.change(ZoneReader("north", "host-1", OWN, 2))
         return self
@@ -86,7 +86,7 @@
 
 
 def test_host_that_cannot_read_the_store_claims_nothing():
-    """It could hand on nothing, and would keep others from it."""
+    """It could serve no changes, and would keep other hosts from doing so."""
     candidate = Candidate()
     candidate.driver.fail_call()
     candidate.driver.now += 10 * DELAY
@@ -104,7 +104,7 @@
 
 
 def test_zone_reader_that_cannot_read_lets_its_lease_expire():
-    """The store serves its renewals but not its reads; the zone waits for news."""
+    """The store accepts its renewals but not its reads, so its zone gets no changes."""
     candidate = Candidate().register()
     candidate.driver.fail_call()
     candidate.driver.now += RENEWAL_FRACTION * LEASE_SECONDS
@@ -112,10 +112,10 @@
 
 
 def test_lost_claim_is_not_repeated_under_an_ended_lease():
-    """The answer to a claim is lost, and the claim may still be carried out later.
+    """The answer to a claim is lost, and the claim may be carried out later.
 
-    Under a lease that has ended it can no longer take effect; the host asks for a
-    new lease and claims again.
+    After its lease has ended it can no longer take effect; the host requests a new
+    lease and claims again.
     """
     candidate = Candidate()
     candidate.next_call()
@@ -160,9 +160,9 @@
 
 
 def test_restarted_reader_does_not_renew_its_old_lease():
-    """A reader is killed and starts again under its name, before its lease ends.
+    """A zone reader crashes and restarts under its id before its lease ends.
 
-    It asks for a lease of its own, and renews none before it is registered under that.
+    It requests a lease of its own, and renews none before it is registered under that.
     """
     candidate = Candidate()
     candidate.driver.change(ZoneReader("north", "host-1", OWN, 2))
@@ -194,10 +194,10 @@
 
 
 def test_deadline_is_never_past_without_a_call():
-    """A host was second with its claim, or its reader of the store fails.
+    """A host was second with its claim, or its calls to the store fail.
 
-    Its next call was due in the past, and none was made: the process turned without
-    sleep until its lease had ended, and took a fifth of a core from its callers.
+    Its next call was due in the past but not made: the event loop ran without sleeping
+    until the lease had ended, and took a fifth of a core from its callers.
     """
     second, failing = Candidate(), Candidate().register()
     second.next_call()
@@ -220,15 +220,15 @@
 
 
 class TestReturn:
-    """The reader of a zone is killed and starts again before its lease has ended."""
+    """A zone reader crashes and restarts before its lease has ended."""
 
     def test_claims_its_zone_again_at_once(self):
-        """All hosts of its zone read the store, twice each, for want of a reader.
+        """All hosts of a zone without a reader read the store, twice each.
 
-        All hosts lost power for a second. Each read the list, and found the zone's
-        reader registered; that host had started again too, and knew of no lease. Four
-        seconds after its last renewal the entry went, 195 hosts watched the store for
-        who would be next, and each was told of every zone: 451 of 701 calls.
+        All hosts lost power for a second. Each listed the store and found the zone
+        reader registered; that host had restarted too and knew of no lease. Four
+        seconds after its last renewal the entry expired, 195 hosts watched the store
+        for its successor, and each was told of every zone: 451 of 701 calls.
         """
         candidate = Candidate()
         candidate.driver.change(ZoneReader("north", "host-1", OWN, 2))
@@ -259,7 +259,7 @@
 
 
 def restore(driver, *entries):
-    """Have the host read a store that has come back from an older copy."""
+    """Let the host read a store that was restored from a backup."""
     driver.now = max(driver.now, driver.tables.reader.call_at)
     driver.call = driver.core.next_call(driver.now)
     driver.answer(HistoryLost(epoch=1))
@@ -268,9 +268,9 @@
 
 
 def test_lease_lost_in_a_restore_is_not_ended():
-    """A store comes back from before a host's lease, and gives its number to another.
+    """A store is restored to a state before a host's lease, and reissues its number.
 
-    The host leaves and ends that number: the other's zone is without a reader.
+    When the host leaves, it ends that number: the new holder's zone loses its reader.
     """
     candidate = Candidate().register()
     restore(candidate.driver)
--- a/tests/test_tokens/test_following.py
+++ b/tests/test_tokens/test_following.py
@@ -1,4 +1,4 @@
-"""Hosts that follow their zone's reader are never behind by more than the bound."""
+"""Tests of following: hosts that follow the zone reader stay within the bound."""
 
 from __future__ import annotations
 
@@ -61,10 +61,10 @@
     "answer", [Unanswered("no answer in time"), Refused(503), HistoryLost()]
 )
 def test_reads_the_store_at_once_when_the_reader_fails(answer):
-    """The zone's reader is killed, frozen, or has lost the store itself.
+    """The zone reader has crashed, has stalled, or cannot reach the store.
 
-    Its followers hear nothing of an accepted change. Each one's call has a deadline;
-    after it the store is asked, for an answer without a wait.
+    Its followers do not hear of an accepted change. Each follower's call has a
+    deadline; after it the follower reads the store without a wait.
     """
     driver = make_follower()
     next_call(driver)
@@ -75,9 +75,9 @@
 
 
 def test_unresponsive_reader_costs_less_than_the_bound():
-    """A change is accepted as the reader falls silent, just after it was asked.
+    """A change is accepted just as the zone reader stops answering a poll.
 
-    What remains of the bound once the follower gives up must do for a call to the
+    When the follower gives up, the rest of the bound must suffice for a call to the
     store over a new connection.
     """
     driver = make_follower()
@@ -88,11 +88,11 @@
 
 @pytest.mark.parametrize("age", [0.0, 1.0, TIMES.follow_age])
 def test_reader_that_fails_after_an_old_answer_costs_less_than_the_bound(age):
-    """A reader is cut off from the store, and loses power before it can say so.
+    """A zone reader is partitioned from the store and loses power right after that.
 
     Its last answer was just young enough to be followed, and the follower waited the
-    full time for the next one: a change was in force after 5.8 s of 5 (emulator seed
-    163; answered with an age of 2.88 s, then a call of 3.05 s, "no answer in time").
+    full time for the next one: a change was applied after 5.8 s of 5 (emulator seed
+    163; an answer with an age of 2.88 s, then a call of 3.05 s, "no answer in time").
     """
     driver = make_follower()
     driver.now += 10.0
@@ -105,10 +105,10 @@
 
 
 def test_partitioned_reader_costs_less_than_the_bound():
-    """The reader answers its followers, but hears nothing of the store any more.
+    """The zone reader answers its followers but gets nothing from the store.
 
-    Followed on, it would hold its whole zone back. It tells the age of what it
-    knows, and beyond an age that leaves time to read the store it is not followed.
+    If it were followed, it would hold its whole zone back. It reports the age of its
+    state, and it is not followed beyond an age that leaves time to read the store.
     """
     driver = make_follower()
     next_call(driver)
@@ -118,10 +118,10 @@
 
 
 def test_answer_that_was_delayed_counts_as_old():
-    """A follower is frozen for ten seconds with an answer in its socket.
+    """A follower stalls for ten seconds with an answer in its socket's queue.
 
-    The answer tells the age it had when it was given. Counted from its arrival, the
-    host would take ten seconds old news for fresh.
+    The answer contains the age at the time at which it was given. Counted from its
+    arrival, the host would consider state that is ten seconds old as current.
     """
     driver = make_follower()
     next_call(driver)
@@ -148,9 +148,9 @@
 
 
 def test_follows_while_the_store_refuses_only_this_host():
-    """The store turns some hosts away and serves the others, for many seconds.
+    """For many seconds the store refuses some hosts and serves the others.
 
-    Without a second source the refused host would serve by what it knew before.
+    Without a second source, the refused host would serve from its old state.
     """
     driver = make_follower()
     next_call(driver)
@@ -177,7 +177,7 @@
 
 
 def test_older_changes_are_not_applied():
-    """A reader that has started anew is behind what its follower has in force."""
+    """A restarted zone reader is behind the state that its follower has applied."""
     driver = Driver(make_target(1), configuration=make_configuration(7))
     driver.change(READER)
     next_call(driver)
@@ -204,10 +204,10 @@
 
 
 def test_difference_to_another_configuration_is_not_applied():
-    """A follower has missed a configuration; its reader tells what came after it.
+    """A follower has missed a configuration; the zone reader sends what came after it.
 
-    Applied to the older one, removed routes would stay in force and be taken for
-    current. The follower reads the store from where it stands.
+    If it were applied to the older configuration, removed routes would stay and count
+    as current. The follower reads the store from its own revision.
     """
     driver = make_follower()
     next_call(driver)
@@ -231,7 +231,7 @@
 
 @given(st.lists(ROUTES, min_size=1, max_size=6), st.integers(0, 5))
 def test_differences_lead_to_the_same_configuration(versions, first):
-    """A follower that joins at any version ends with the routes of the reader."""
+    """A follower that joins at any version ends up with the zone reader's routes."""
     reader, joined = make_zone_reader(), make_follower()
     for number, routes in enumerate(versions):
         reader.change(make_configuration(2 + number, routes))
@@ -247,7 +247,7 @@
 
 
 class CountedRoutes(dict):
-    """Routes that count how many of them are looked at in a row."""
+    """Routes that count how many of them are examined by iteration."""
 
     examined = 0
 
@@ -272,8 +272,8 @@
 def test_change_of_one_route_does_not_scan_the_others():
     """Operators change one of 4,200 routes many times in a row.
 
-    Each time all routes were made anew, 8.5 ms of processor: on a sixth of a core a
-    host stood still for 50 ms a change, and callers' openings waited.
+    Each time all routes were rebuilt, in 8.5 ms of processor time: on a sixth of a core
+    a host stalled for 50 ms per change, and callers' openings waited.
     """
     routes = [make_route(PREVIEWS + number) for number in range(4200)]
     driver = Driver(make_target(1), configuration=make_configuration(1, routes))
--- a/tests/test_tokens/test_peer_snapshot.py
+++ b/tests/test_tokens/test_peer_snapshot.py
@@ -1,4 +1,4 @@
-"""A host that starts while the store is away takes a copy of what a peer knows."""
+"""Tests of snapshots: a host that starts while the store is unreachable asks a peer."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def restarted_host(driver, peers=2):
-    """Have a driver's host start anew, knowing nothing, with some peers."""
+    """Restart a driver's host without state, with some peers."""
     times = ReaderTimes.from_bounds(BOUND, SETTLING)
     driver.core = TokenBalancer.from_config("host-2", "north", times, peers)
     return driver
@@ -84,10 +84,10 @@
 
 
 def test_snapshot_of_an_outdated_peer_makes_nothing_current():
-    """The peer has been without the store for long, too.
+    """The peer has not reached the store for a long time either.
 
-    Its copy serves known routes. Others are not refused: the newest configuration
-    may allow them.
+    Its snapshot serves known routes. Others are not refused, since the newest
+    configuration may allow them.
     """
     peer = Driver(make_target(1))
     peer.now += 20.0
@@ -98,7 +98,7 @@
 
 
 def test_configured_host_never_asks_peers():
-    """A copy could be older than what is in force."""
+    """A snapshot could be older than the state that has been applied."""
     driver = Driver(make_target(1))
     driver.tables.peers = 2
     for _ in range(4):
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("name", ["configuration", "targets", "revision", "age"])
 def test_snapshot_of_another_shape_counts_as_unanswered(name):
-    """A peer of another release gives a copy that this one cannot read."""
+    """A peer of another release sends a snapshot that this one cannot decode."""
     _, body = encode_snapshot(Driver(make_target(1)).tables, 100.0)
     broken = {**json.loads(body), name: "x"}
     answer = decode_snapshot(200, json.dumps(broken).encode())
--- a/tests/test_tokens/test_restarts.py
+++ b/tests/test_tokens/test_restarts.py
@@ -1,4 +1,4 @@
-"""Targets that start again under their id, and entries that others have written."""
+"""Tests of targets that restart under their id, and of entries by other programs."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 def first_and_other():
-    """Return a host that knows two targets, each in its first start."""
+    """Return a host that knows two targets, each in its first incarnation."""
     return Driver(
         make_target(1, started=FIRST_START), make_target(2, started=FIRST_START)
     )
 
 
 def restart(driver, number=1, **fields):
-    """Have a target register after it has started again."""
+    """Let a target register after a restart."""
     revision = driver.revision + 1
     target = make_target(number, started=SECOND_START, revision=revision, **fields)
     driver.change(target)
@@ -32,10 +32,10 @@
 
 class TestNewStart:
     def test_state_of_the_old_incarnation_is_dropped(self):
-        """A target crashes under its flows and starts again at once, under its id.
+        """A target crashes with open flows and restarts at once under its id.
 
-        Its entry never left the store. Counted on, dead flows and their silence
-        would keep new flows away from an empty target.
+        Its entry was never removed. If they were kept, old flows and their time-outs
+        would keep new flows away from an idle target.
         """
         driver = Driver(make_target(1, started=FIRST_START))
         caller = driver.caller(1, ORDERS)
@@ -52,10 +52,10 @@
         assert driver.tables.by_service["previews"] == [row]
 
     def test_packet_of_an_old_flow_is_forwarded_to_the_target(self):
-        """A caller goes on with a flow that died with the target's earlier start.
+        """A caller continues a flow that ended with the target's previous incarnation.
 
-        The target itself says that it does not know the flow; a host that dropped
-        the packet would leave the caller to its deadline. The address is the new one.
+        The target itself resets the flow; if the host dropped the packet, the caller
+        would wait until its deadline. The address is that of the new incarnation.
         """
         driver = Driver(make_target(1, started=FIRST_START))
         caller = driver.caller(1)
@@ -73,10 +73,10 @@
         assert target_of(driver.caller(1).open()) == "i-1"
 
     def test_late_write_of_the_old_incarnation_is_ignored(self):
-        """The old start's report that it leaves was lost, and is done seconds later.
+        """The leave announcement of the old incarnation is written seconds late.
 
-        It comes with a newer revision than the entry of the start that serves. Taken,
-        the target would be given nothing until its next change.
+        It has a newer revision than the entry of the incarnation that serves. If it
+        were applied, the target would get no flows until its next change.
         """
         driver = first_and_other()
         restart(driver)
@@ -111,9 +111,9 @@
 
 class TestUnreadable:
     def test_last_valid_entry_stays_in_effect(self):
-        """Another program writes over the entry of a target that serves.
+        """Another program overwrites the entry of a target that serves.
 
-        The target writes it anew within a heartbeat. Until then its flows go on, and
+        The target rewrites it within a heartbeat. Until then its flows go on, like
         those of all others.
         """
         driver = first_and_other()
@@ -124,9 +124,9 @@
         assert row in driver.tables.by_service["previews"]
 
     def test_entry_of_a_later_incarnation_removes_the_target(self):
-        """The entry cannot be read, but shows that the target has started again.
+        """The entry cannot be decoded, but shows that the target has restarted.
 
-        Its last good entry speaks of a start that is over.
+        Its last valid entry belongs to an incarnation that has ended.
         """
         driver = first_and_other()
         driver.change(Unreadable("i-1", "state is 'parked'", 2, SECOND_START))
@@ -139,7 +139,7 @@
         assert len(driver.tables.by_service["previews"]) == 2
 
     def test_entry_without_a_start_time_replaces_none_that_has_one(self):
-        """Another program writes an entry that looks like a target's, for its id."""
+        """Another program writes an entry that looks like a target's, under its id."""
         driver = Driver(make_target(1, started=FIRST_START))
         foreign = make_target(1, endpoint=make_target(9).endpoint, revision=2)
         driver.change(foreign)
--- a/tests/test_tokens/test_store_reader.py
+++ b/tests/test_tokens/test_store_reader.py
@@ -1,4 +1,4 @@
-"""How a host stays current, whatever the store and the way to it do."""
+"""Tests of reading the store: staying current despite faults."""
 
 from __future__ import annotations
 
@@ -34,16 +34,16 @@
 
 
 def next_call(driver):
-    """Let time pass until the next call, and make it."""
+    """Advance the clock to the next call, and make it."""
     driver.now = max(driver.now, driver.tables.reader.call_at)
     driver.call = driver.core.next_call(driver.now)
     return driver.call
 
 
 def test_older_configuration_is_never_applied():
-    """A late answer brings an older configuration after a newer one is in force.
+    """A late answer contains an older configuration than the one that was applied.
 
-    Applied, a route that was removed would take flows again.
+    If it were applied, a removed route would get flows again.
     """
     driver = Driver(make_target(1), configuration=make_configuration(5))
     driver.change(make_configuration(4, []))
@@ -52,7 +52,7 @@
 
 
 def test_older_entry_of_a_target_is_not_applied():
-    """A list that was read before a target started to leave arrives after it."""
+    """A list that was read before a target started to leave arrives later."""
     driver = Driver(make_target(1), make_target(2))
     driver.change(make_target(1, leaving=True, revision=5))
     driver.answer(HistoryLost())
@@ -69,10 +69,11 @@
 
 
 def test_list_keeps_a_target_registered_after_its_first_page():
-    """Pages are no snapshot: a target registers while they are read.
+    """Pages are no consistent snapshot: a target registers while they are read.
 
-    The watch that was cut brought it already. The list, begun before, does not
-    hold it; removed, it would stay unused until its next change.
+    The interrupted watch has already brought it. The list was started before and does
+    not contain it; if the target were removed, it would stay unused until its next
+    change.
     """
     driver = Driver(make_target(1))
     driver.change(make_target(2, revision=8))
@@ -85,7 +86,8 @@
 def test_unreadable_entry_keeps_the_last_valid_one():
     """A target writes an entry that cannot be decoded.
 
-    It is there, and its last good entry stays in force; other entries count.
+    The target is present, and its last valid entry stays in effect; other entries are
+    applied.
     """
     driver = Driver(make_target(1), make_target(2))
     driver.answer(HistoryLost())
@@ -97,8 +99,8 @@
 def test_pages_are_collected_and_the_watch_starts_at_the_first():
     """Entries change while a list is read page by page.
 
-    The watch goes on from the revision of the first page, so that what changed
-    on pages already read is told again.
+    The watch continues from the revision of the first page, so that changes to pages
+    that were already read are reported again.
     """
     driver = Driver()
     driver.answer(HistoryLost())
@@ -111,9 +113,9 @@
 
 
 def test_answer_without_changes_does_not_advance_the_watch():
-    """A store lets a watch hear nothing while entries change, then answers it.
+    """A store withholds changes from a watch, and then answers it.
 
-    Were the revision of that answer taken, the changes would be missed for good.
+    If the revision of that answer were used, the changes would be missed permanently.
     """
     driver = Driver(make_target(1))
     driver.answer(Changes((), None))
@@ -122,7 +124,7 @@
 
 
 def test_incomplete_list_changes_nothing():
-    """The store goes down between two pages: what is known stays in force."""
+    """The store fails between two pages: the known state stays in effect."""
     driver = Driver(make_target(1))
     driver.answer(HistoryLost())
     driver.answer(Page((make_configuration(),), 20, "op/x"))
@@ -131,7 +133,7 @@
 
 
 def test_entry_that_returns_is_used_again():
-    """Entries lapsed with the store away; two seconds later they are back."""
+    """Entries expired during an outage of the store and are back two seconds later."""
     driver = Driver(make_target(1))
     driver.remove(1)
     driver.change(make_target(1, revision=driver.revision + 1))
@@ -146,10 +148,10 @@
 
 @pytest.mark.parametrize("failures", range(1, 8))
 def test_store_is_asked_again_within_the_bound(failures):
-    """The store fails again and again, then answers.
+    """The store fails repeatedly and then answers.
 
-    The pause and the time given to a call grow, and stay bounded, so that a host
-    is current again in time.
+    The pause and the timeout of a call grow but stay bounded, so that a host is current
+    again in time.
     """
     driver = Driver(make_target(1))
     for _ in range(failures):
@@ -166,10 +168,10 @@
     ("change", "settling"), [(3.0, 4.0), (5.0, 5.0), (1.0, 2.0), (10.0, 20.0)]
 )
 def test_lost_watch_is_repeated_in_time(change, settling):
-    """A connection goes silent right after a watch was sent over it.
+    """A connection stops answering right after a watch was sent over it.
 
-    The watch is given up, and the next one, over a new connection, asks for an
-    answer at once: all before the host counts as settled after the trouble.
+    The watch times out, and the next one, over a new connection, requests an answer
+    without waiting: all before the host counts as settled after the fault.
     """
     driver = Driver(make_target(1))
     driver.core.times = ReaderTimes.from_bounds(change, settling)
@@ -185,16 +187,16 @@
 
 
 def test_state_counts_as_current_while_a_watch_waits():
-    """A host that is well must be able to refuse an address without a route."""
+    """A healthy host must be able to refuse an address without a route."""
     times = ReaderTimes.from_bounds(3.0, 60.0)
     assert times.wait < times.current
 
 
 def test_long_outage_of_the_store_does_not_crash_the_process():
-    """The store is down for a night. Callers are served by what is known.
+    """The store is down for a night. Callers are served from the known state.
 
-    Pauses that doubled without end would overflow after a thousand failures, a
-    quarter of an hour, and every host would end at about the same time.
+    Pauses that double without limit would overflow after a thousand failures, a quarter
+    of an hour, and every host would crash at about the same time.
     """
     driver = Driver(make_target(1))
     for _ in range(20_000):
@@ -214,7 +216,7 @@
 
 
 def test_delayed_answer_confirms_the_state_at_its_request():
-    """An answer lay in the socket while the host was frozen for five seconds."""
+    """An answer was queued in the socket while the host stalled for five seconds."""
     driver = Driver(make_target(1))
     sent_at = driver.now
     driver.now += 5.0
@@ -223,10 +225,10 @@
 
 
 def test_watch_that_is_too_large_is_followed_by_a_list():
-    """Many versions of a large configuration are accepted while one comes in.
+    """Many versions of a large configuration are accepted while one is transferred.
 
-    The next watch would bring each of them whole. The store is well, so the list
-    goes out at once, and what is known meanwhile stays in force.
+    The next watch would transfer each of them in full. The store is healthy, so the
+    list is requested immediately, and the known state stays in effect meanwhile.
     """
     driver = Driver(make_target(1))
     driver.now = max(driver.now, driver.tables.reader.call_at)
@@ -239,11 +241,11 @@
 
 @pytest.mark.parametrize("call", [ListEntries(), ReadPeer(0)])
 def test_list_or_snapshot_that_is_too_large_is_a_failure(call):
-    """A list, or a peer's copy, is larger than any answer that is taken.
+    """A list, or a peer's snapshot, exceeds the size limit.
 
-    Nothing smaller can be asked for in its place. Taken for a watch that brings too
-    much, the store would be asked again at once and for ever, and a peer's answer
-    would count as one of the store.
+    There is nothing smaller to request instead. If it were handled like a watch that is
+    too large, the store would be asked again immediately and forever, and a peer's
+    answer would count as one of the store.
     """
     driver = Driver(make_target(1))
     driver.call = call
@@ -253,7 +255,7 @@
 
 
 def test_only_watch_answers_are_limited_by_the_link():
-    """A list is the smallest way to learn everything: it is taken at any size."""
+    """A list is the smallest way to learn everything, so it is accepted at any size."""
     driver = Driver(make_target(1))
     driver.core.times = ReaderTimes.from_bounds(4.0, SETTLING, link_rate=625e3)
     assert driver.core.largest_answer(WatchEntries(1, 0.0)) == 625e3
@@ -261,9 +263,10 @@
 
 
 def test_repeated_loss_of_history_is_listed_with_backoff():
-    """Each watch after a list is answered that history is lost, for seconds.
+    """For seconds, each watch after a list answers that the history is lost.
 
-    Listing again at once, every host of a fleet costs the store forty calls a second.
+    If every host of a fleet listed again immediately, it would cost the store forty
+    calls per second and host.
     """
     driver = Driver(make_target(1))
     began = driver.now
@@ -288,10 +291,10 @@
 
 
 def test_pages_from_before_and_after_a_restore_are_not_combined():
-    """A store comes back from an older copy while it is listed page by page.
+    """A store is restored from a backup while it is listed page by page.
 
-    Put together, its pages would take a target for gone that is on the first page of
-    the copy.
+    If its pages were combined, a target on the first page of the restored store would
+    count as removed.
     """
     driver = Driver(make_target(1), make_target(2))
     driver.answer(HistoryLost())
--- a/tests/test_tokens/zone.py
+++ b/tests/test_tokens/zone.py
@@ -1,4 +1,4 @@
-"""A zone reader and a host that follows it, driven by hand."""
+"""A zone reader and a host that follows it, driven step by step."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 TIMES = ReaderTimes.from_bounds(BOUND, SETTLING)
 READER = ZoneReader("north", "host-9", Endpoint("10.1.0.9", 8166), 2)
 
-#: Seconds that a call to the store takes with a new connection, far above the usual.
+#: Seconds that a call to the store takes over a new connection, far above the usual.
 STORE_CALL = 0.3
 
 
 def make_follower():
-    """Return a host that has heard of its zone's reader."""
+    """Return a host that knows its zone reader."""
     driver = Driver(make_target(1))
     driver.change(READER)
     return driver
 
 
 def make_zone_reader(*targets):
-    """Return the host that reads for the zone."""
+    """Return the zone reader."""
     driver = Driver(*targets or (make_target(1),))
     driver.change(ZoneReader("north", "host-1", Endpoint("10.1.0.9", 8166), 2))
     return driver
@@ -40,7 +40,7 @@
 
 
 def poll_reader(driver, after):
-    """Return what the reader answers a follower that waits for nothing."""
+    """Return the zone reader's answer to a follower that polls without waiting."""
     poll = FeedPoll(after, driver.now, driver.now)
     return decode_answer(driver.core.answer_poll(poll, driver.now))
 
