--- a/citronspring/tokens/__init__.py
+++ b/citronspring/tokens/__init__.py
@@ -1,1 +1,4 @@
-"""Flows kept by a token that each packet carries: the decision core of that mode."""
+"""Decision core of the token mode: each packet carries a token that names its target.
+
+A caller is a client that opens flows, and an opening is the SYN by which it does so.
+"""
--- a/citronspring/tokens/admission.py
+++ b/citronspring/tokens/admission.py
@@ -1,14 +1,15 @@
-"""Whether a new flow is let in, from how long requests of its service take now.
-
-It answers the load under which targets have more work than they can do in time: their
-queues fill, every request waits through a full queue, is late or turned away at its
-end, and comes again. An opening that is refused at once leaves the queue short for
-those that are let in. Refusals rise with the delay, as in random early detection, since
-a limit that all hosts cross together lets in all or nobody by turns.
-
-The time from a request to the first byte of its answer holds the wait behind all hosts'
-requests in the target's queue. So each host sees the whole load in the few requests
-that it sends there, and hosts need not tell each other anything.
+"""Load shedding: refuses new flows of a service whose requests take too long.
+
+When targets receive more work than they can finish in time, their queues fill, every
+request waits through a full queue, and late or refused requests are retried. Refusing
+openings early keeps the queues short for the flows that are admitted. The share of
+refused openings rises with the delay, as in random early detection (RED). A fixed limit
+that all hosts cross at the same moment would alternate between admitting every flow and
+none.
+
+The time from a request to the first byte of its answer includes the wait behind the
+requests of all hosts in the target's queue. Each host therefore sees the total load in
+the few requests that it forwards itself, and hosts need not exchange load data.
 """
 
 from __future__ import annotations
@@ -20,57 +21,59 @@
     from citronspring.tokens.rows import AnswerRow, ServiceRow
     from citronspring.tokens.tables import Tables
 
-#: How far a request moves the median: ten that all take longer double it, as many as a
-#: small host sees of a busy service in a tenth of a second.
+#: Relative change of the median per request. Ten slower requests in a row double it; a
+#: small host sees that many of a busy service in a tenth of a second.
 MEDIAN_STEP = 0.075
 
-#: Answers, with no longer silence between, before which a median is not known. A host
-#: of a large fleet sees a request or two of a service a second, and one slow upload
-#: would have the next callers refused while targets are idle.
+#: Required number of answers, without a longer gap between them, before the median is
+#: used. A host of a large fleet sees a request or two of a service per second, and with
+#: fewer samples one slow upload would cause refusals while targets are idle.
 MIN_ANSWERS = 10
 
-#: Least median in seconds: one of 0, as of an answer that came in the same instant,
-#: would stay 0 for ever.
+#: Lower bound of the median in seconds. A median of 0, from an answer within the same
+#: clock reading, could not grow, since it changes by a factor.
 MIN_MEDIAN = 0.001
 
-#: Seconds without an answer after which nothing is known of the delay; flows are then
-#: let in, and find out.
+#: Seconds without an answer after which the median expires. New flows are then
+#: admitted, and their requests measure the delay anew.
 MEDIAN_LIFETIME = 0.5
 
-#: Median time to answer, as a share of the objective, from which openings are refused,
-#: and that from which all are. Queues of half of the objective keep targets at work,
-#: and a request that is let in is still answered in time.
+#: Median response time, as a share of the route's objective, at which shedding starts,
+#: and that at which all openings are refused. With queues of half of the objective,
+#: targets stay busy and an admitted request is still answered in time.
 SHEDDING_START = 0.35
 SHEDDING_FULL = 0.55
 
-#: What each step of priority adds to both. Orders, which may run once only and are
-#: worth more, are let in while previews are refused.
+#: Added to both thresholds for each step of priority. Orders, which must not run twice
+#: and are worth more, are admitted while previews are refused.
 PRIORITY_STEP = 0.25
 
-#: Share of the usual size of a route's answers below which one is a refusal.
+#: Share of a route's usual answer size below which an answer is taken for a refusal by
+#: an overloaded target.
 SMALL_ANSWER_RATIO = 0.3
 
-#: How far an answer moves the usual size up or down: three of four answers are smaller.
-#: Refusals move it by the decay in a second at most, so that many of them in a rush do
-#: not pass for answers, and smaller answers of a new release soon do.
+#: Relative steps of the usual size, up and down. With these, three of four answers are
+#: smaller than the usual size. Refusals reduce it only by the decay, as a share per
+#: second: a burst of refusals does not turn into the usual size, while a new release
+#: with smaller answers is recognised soon.
 SIZE_RISE = 0.09
 SIZE_FALL = 0.03
 SIZE_DECAY = 0.05
 
-#: Seconds of that decay that one refusal brings at most.
+#: Upper bound, in seconds, of the time for which one refusal applies that decay.
 MAX_DECAY_SECONDS = 1.0
 
-#: Modulus and multiplier of the draw for an opening.
+#: Range and hash multiplier of the pseudo-random draw per opening.
 DRAW_RANGE = 1 << 16
 HASH_MULTIPLIER = 0x9E3779B1
 
 
 def note_time_to_answer(service: ServiceRow, seconds: float, now: float) -> None:
-    """Take how long a target of a service took for a request.
+    """Update the median response time of a service with one request.
 
-    The median moves by a step for each request, however long it took. A third of the
-    targets at a tenth of their speed would double a mean, and flows would be refused
-    that the other targets have room for.
+    Each request moves the median by one step, however long it took. A mean would double
+    when a third of the targets run at a tenth of their speed, and flows would be
+    refused for which the other targets have capacity.
     """
     if now - service.answered_at > MEDIAN_LIFETIME:
         service.median_delay = max(seconds, MIN_MEDIAN)
@@ -85,10 +88,10 @@
 
 
 def note_answer_size(row: AnswerRow, size: int, now: float) -> bool:
-    """Take the size of what a target sent; return whether it is an answer.
+    """Update the usual answer size; return whether this is a real answer.
 
-    What is far smaller than usual is a target's word that it is full. It comes sooner
-    than answers do, and counted as one of them it would hide how long those take.
+    An answer far smaller than usual is an overloaded target's refusal. Refusals arrive
+    sooner than real answers; counted as answers, they would hide how long those take.
     """
     usual = row.usual_size
     elapsed = min(now - row.seen_at, MAX_DECAY_SECONDS)
@@ -108,7 +111,7 @@
 def is_admitted(
     tables: Tables, packet: Packet, route: Route, service: str, now: float
 ) -> bool:
-    """Whether an opening is let in."""
+    """Return whether a new flow is admitted."""
     delay = current_delay(tables, service, now)
     share = shed_fraction(delay, route, tables.lowest_priority)
     draw = (packet.seq * HASH_MULTIPLIER >> 8) % DRAW_RANGE
@@ -116,7 +119,7 @@
 
 
 def current_delay(tables: Tables, service: str, now: float) -> float:
-    """Return the median time to answer of a service, 0 if it is not known now."""
+    """Return the median response time of a service, 0 if it has no current one."""
     row = tables.services.get(service)
     if row is None or row.answers < MIN_ANSWERS:
         return 0.0
@@ -126,12 +129,12 @@
 
 
 def shed_fraction(delay: float, route: Route, lowest_priority: int) -> float:
-    """Return the share of a route's openings that are refused.
+    """Return the share of a route's new flows that are refused.
 
     Parameters
     ----------
     delay : float
-        Median seconds that requests of the service take.
+        Median response time of the service in seconds.
     route : Route
         The route, with its objective and priority.
     lowest_priority : int
--- a/citronspring/tokens/balancer.py
+++ b/citronspring/tokens/balancer.py
@@ -1,4 +1,4 @@
-"""The decision core of the token mode: packets and answers in, actions out."""
+"""The decision core of the token mode: takes packets and answers, returns actions."""
 
 from __future__ import annotations
 
@@ -47,28 +47,29 @@
     )
     from citronspring.tokens.suspicions import HostMessage
 
-#: Seconds for which a leaving host forwards at least: routers ask for its readiness
-#: twice a second and send until they have missed it twice.
+#: Minimum time in seconds that a leaving host keeps forwarding. Routers probe its
+#: readiness twice per second and send to it until two probes have failed.
 LEAVE_SECONDS = 1.6
 
-#: Seconds without a packet after which a leaving host is taken to be out of use.
+#: Seconds without a packet after which a leaving host counts as out of rotation.
 QUIET_SECONDS = 0.4
 
-#: Seconds for which the process may stand still until openings that wait are too old
-#: to be placed: after 200 ms a caller sends a copy, which may open the flow through
-#: another host. Twice the longest pause of a processor that has used up its share.
+#: Stall of the process, in seconds, after which queued openings are too old to be
+#: placed: after 200 ms a caller retransmits its opening, which may open the flow
+#: through another host. This is twice the longest pause of a processor whose CPU quota
+#: is used up.
 STALL_THRESHOLD = 0.2
 
 
 class TokenBalancer:
-    """One host's decisions. Pure: time and I/O come as arguments.
+    """The decisions of one host; a pure core that gets time and I/O as arguments.
 
     Parameters
     ----------
     tables : Tables
         All state.
     times : ReaderTimes
-        Time limits of calls to the store.
+        Timeouts of calls to the store.
     """
 
     def __init__(self, tables: Tables, times: ReaderTimes) -> None:
@@ -79,18 +80,18 @@
     def from_config(
         cls, host_id: str, zone: str, times: ReaderTimes, peers: int = 0
     ) -> TokenBalancer:
-        """Make the core of a host that knows nothing yet.
+        """Return the core of a host that has no state yet.
 
         Parameters
         ----------
         host_id : str
-            The host itself.
+            Id of this host.
         zone : str
             Its availability zone.
         times : ReaderTimes
-            Time limits of calls to the store.
+            Timeouts of calls to the store.
         peers : int
-            Other hosts that can be asked for a copy.
+            Number of other hosts that can be asked for a snapshot.
         """
         return cls(Tables(host_id, zone, peers), times)
 
@@ -101,21 +102,20 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new flows may be sent to this host."""
+        """Whether routers may send new flows to this host."""
         return self.configured and self.tables.leave_deadline is None
 
     def begin_iteration(self, now: float, slept: float = 0.0) -> bool:
-        """Take that the process is about to read what waits for it.
+        """Begin an iteration of the event loop; return whether the process had stalled.
 
-        Returns whether the process stood still. Everything that waits must then be
-        received before the next `tick`.
+        After a stall, all queued packets must be received before the next `tick`.
 
         Parameters
         ----------
         now : float
-            Seconds.
+            Current time in seconds.
         slept : float
-            Seconds for which it meant to sleep since the last turn began.
+            Seconds that the process slept on purpose since the last iteration began.
         """
         tables = self.tables
         stalled = now - tables.iteration_started_at - slept >= STALL_THRESHOLD
@@ -127,69 +127,72 @@
         return stalled
 
     def receive(self, packet: Packet, now: float) -> list[Action]:
-        """Decide about a packet."""
+        """Return the actions for a packet."""
         actions: list[Action] = []
         current = is_current(self.tables, self.times, now)
         receive_packet(self.tables, packet, current, now, actions)
         return actions
 
     def note_failed_send(self, now: float) -> None:
-        """Take that the host could not send a datagram."""
+        """Record that sending a datagram failed."""
         self.tables.counters["send-errors"] += 1
         note_disturbance(self.tables.local_path, now)
 
     def next_call(self, now: float) -> StoreCall | None:
-        """Return the call to make to the store, None while it is not yet time."""
+        """Return the call to the store that is due, None if none is."""
         return next_call(self.tables, self.times, now)
 
     def answer_deadline(self, call: StoreCall, now: float) -> float:
-        """Return the time at which a call that goes out now is given up."""
+        """Return the deadline of a call that is sent now."""
         return answer_deadline(self.tables, call, now)
 
     def largest_answer(self, call: StoreCall) -> float:
-        """Return the bytes beyond which an answer to a call is not taken."""
+        """Return the largest accepted size of a call's answer, in bytes."""
         return largest_answer(self.times, call)
 
     def handle_store_answer(
         self, call: StoreCall, answer: StoreAnswer, sent_at: float, now: float
     ) -> list[Action]:
-        """Take what a call to the store, a peer or the zone's reader brought."""
+        """Apply the answer to a call to the store, a peer or the zone reader."""
         return handle_store_answer(self.tables, self.times, call, answer, sent_at, now)
 
     def next_election_call(
         self, endpoint: Endpoint, delay: float, now: float
     ) -> ElectionCall | None:
-        """Return the call to make for the choice of the zone's reader, if any."""
+        """Return the election call that is due, None if none is."""
         return next_election_call(self.tables, endpoint, delay, now)
 
     def next_election_deadline(self) -> float:
-        """Return the time at which such a call may be due."""
+        """Return the time at which the next election call may be due."""
         return next_election_deadline(self.tables)
 
     def handle_election_answer(
         self, call: ElectionCall, answer: ElectionAnswer, sent_at: float, now: float
     ) -> list[Action]:
-        """Take what such a call brought."""
+        """Apply the answer to an election call."""
         return handle_election_answer(self.tables, call, answer, sent_at, now)
 
     def answer_poll(self, poll: FeedPoll, now: float) -> tuple[int, bytes] | None:
-        """Return status and body for a follower, None to let it wait on."""
+        """Return status and body for a follower's poll, None while it has to wait."""
         note_member(self.tables, poll.host, now)
         return answer_poll(self.tables, self.times, poll, now)
 
     def handle_host_message(
         self, message: HostMessage, source: str, now: float
     ) -> list[Action]:
-        """Take what another host of the zone says; ``source`` is its address."""
+        """Handle a message from another host of the zone.
+
+        ``source`` is the sender's address.
+        """
         actions: list[Action] = []
         handle_host_message(self.tables, message, source, now, actions)
         return actions
 
     def tick(self, now: float) -> list[Action]:
-        """Do what time has come for; packets that wait are to be received first.
+        """Run everything that is due; queued packets must be received first.
 
-        An answer that is waiting to be read must not count as missing because the
-        host itself stood still.
+        Otherwise an answer that is still in the socket's queue would count as missing
+        after the host itself had stalled.
         """
         actions: list[Action] = []
         tables = self.tables
@@ -212,7 +215,7 @@
         return actions
 
     def next_deadline(self, now: float) -> float:
-        """Return the time at which `tick` has something to do next."""
+        """Return the time of the next work for `tick`."""
         tables = self.tables
         deadline = min(
             tables.sweep_at,
@@ -224,7 +227,7 @@
         return max(deadline, now)
 
     def leave(self, deadline: float, now: float) -> list[Action]:
-        """Turn unready, and go on forwarding until routers send no more."""
+        """Start leaving: turn unready, and forward until routers stop sending."""
         if self.tables.leave_deadline is not None:
             return []
         self.tables.leave_deadline = deadline
@@ -236,7 +239,7 @@
         return [Log(LEAVING.number, fields)]
 
     def may_stop(self, now: float) -> bool:
-        """Whether a leaving host is out of use, or its time is up."""
+        """Whether a leaving host is out of rotation or has reached its deadline."""
         tables = self.tables
         if tables.leave_deadline is None:
             return False
@@ -245,14 +248,14 @@
         return now >= tables.leave_deadline or (routers_left and quiet)
 
     def dump(self, now: float) -> dict[str, object]:
-        """Return the state as plain values, for operators."""
-        # Imported when it is first asked for: each module at start is dark time.
+        """Return the state as JSON-compatible values, for operators."""
+        # Imported on first use: each module that is loaded at start delays readiness.
         from citronspring.tokens.introspection import dump_state
 
         return dump_state(self.tables, now)
 
     def snapshot(self, now: float) -> tuple[int, bytes]:
-        """Return status and body of the answer to a peer that asks for a copy."""
+        """Return status and body for a peer that requests a snapshot."""
         return encode_snapshot(self.tables, now)
 
     def metrics(self, now: float) -> str:
--- a/citronspring/tokens/entities.py
+++ b/citronspring/tokens/entities.py
@@ -1,4 +1,4 @@
-"""What is configured and registered: routes, targets, and packets of callers."""
+"""Domain objects: routes, targets' tokens, and packets of callers."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 if TYPE_CHECKING:
     pass
 
-#: Bits of a port in a route key.
+#: Number of bits of the port in a route key.
 PORT_BITS = 16
 
-#: Bits of the token that a packet carries.
+#: Number of bits of the token that a packet carries.
 TOKEN_BITS = 32
 TOKEN_MASK = (1 << TOKEN_BITS) - 1
 
 
 def route_key(address: int, port: int) -> int:
-    """Return the key under which the route of a service address is found.
+    """Return the key of the route for a service address.
 
     Parameters
     ----------
@@ -32,15 +32,15 @@
 def token_of(incarnation: int) -> int:
     """Return the token that names an incarnation in packets, 0 for none.
 
-    Every host derives the same token with no word to another. An incarnation of
-    up to 32 bits is its own token; a longer one is folded.
+    All hosts derive the same token without communicating. An incarnation of up to 32
+    bits is its own token; a longer one is folded.
     """
     return (incarnation ^ incarnation >> TOKEN_BITS) & TOKEN_MASK
 
 
 @record(eq=True)
 class Share:
-    """A service among those that a route spreads new flows over."""
+    """A service with its weight in a route's distribution of new flows."""
 
     service: str
     weight: float
@@ -48,39 +48,39 @@
 
 @record(eq=True)
 class Route:
-    """A service address and the services that take its new flows."""
+    """A service address and the services that serve its new flows."""
 
     name: str
     #: See `route_key`.
     key: int
     shares: tuple[Share, ...]
-    #: Whether a request may run twice, so that a caller tries again by itself
-    #: after a reset.
+    #: Whether a request may run twice, so that a caller may retry by itself after a
+    #: reset.
     idempotent: bool
-    #: Seconds within which a request should be answered; infinite for none.
+    #: Latency objective in seconds; infinite if there is none.
     objective: float = INFINITY
-    #: How urgent its requests are, 0 most of all.
+    #: Priority of its requests; 0 is the most urgent.
     priority: int = 0
 
 
 @record
 class Packet:
-    """A packet from a caller; only the carrier looks inside ``data``."""
+    """A packet from a caller; only the transport code reads ``data``."""
 
-    #: Opaque key of the flow: both addresses and ports.
+    #: Opaque key of the flow, made of both addresses and ports.
     flow: bytes
     #: Key of the route, see `route_key`.
     route: int
     #: See `citronspring.tcp_flags`.
     flags: int
-    #: Names the target of the flow; 0 on an opening.
+    #: Token of the flow's target; 0 on an opening.
     token: int
-    #: Number of the first byte of payload, 32 bits.
+    #: Sequence number of the first byte of payload, 32 bits.
     seq: int
     #: Next byte that the caller expects, 32 bits; on an opening, how many times the
     #: caller has sent it before.
     ack: int
-    #: Bytes of payload.
+    #: Length of the payload in bytes.
     length: int
-    #: The packet as it travels.
+    #: The raw packet.
     data: bytes = b""
--- a/citronspring/tokens/flows.py
+++ b/citronspring/tokens/flows.py
@@ -1,4 +1,4 @@
-"""Rows of flows: made, counted at their targets, and forgotten."""
+"""Flow rows: creating, counting at their targets, and expiring them."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
     from citronspring.tokens.rows import TargetRow
     from citronspring.tokens.tables import Tables
 
-#: Seconds between two looks for rows that have expired.
+#: Interval in seconds between two passes that remove expired rows.
 SWEEP_INTERVAL = 1.0
 
 
 def start_flow(
     tables: Tables, packet: Packet, route: Route, target: TargetRow, now: float
 ) -> FlowRow | None:
-    """Make the row of a flow; None when the table is full.
+    """Create the row of a flow; return None if the table is full.
 
-    A flow without a row is forwarded all the same. What is lost is a second try of
-    its opening, and its share in what is believed of its target.
+    A flow without a row is forwarded all the same. It only lacks the retry of its
+    opening at another target, and it adds no evidence about its target.
     """
     if len(tables.flows) >= MAX_FLOWS:
         tables.counters["flows-without-row"] += 1
@@ -42,7 +42,7 @@
 
 
 def touch_flow(tables: Tables, flow: FlowRow, now: float) -> None:
-    """Keep a flow's row for another idle time."""
+    """Extend the lifetime of a flow's row by the idle timeout."""
     flow.expires_at = now + tables.idle_timeout
 
 
@@ -65,14 +65,14 @@
 
 
 def close_flow(tables: Tables, key: bytes, flow: FlowRow) -> None:
-    """Forget a flow."""
+    """Remove the row of a flow."""
     end_request(flow)
     count_load(flow.target, flows=-1)
     del tables.flows[key]
 
 
 def expire_flows(tables: Tables, now: float) -> None:
-    """Forget flows that have been idle for too long."""
+    """Remove the rows of flows that have exceeded the idle timeout."""
     for key, flow in list(tables.flows.items()):
         if flow.expires_at <= now:
             close_flow(tables, key, flow)
--- a/citronspring/tokens/forwarding.py
+++ b/citronspring/tokens/forwarding.py
@@ -1,4 +1,4 @@
-"""A packet of a caller: to its target, back as a reset, or dropped."""
+"""Packet processing: forward a caller's packet, reset its flow, or drop it."""
 
 from __future__ import annotations
 
@@ -39,20 +39,21 @@
     from citronspring.tokens.rows import FlowRow, TargetRow
     from citronspring.tokens.tables import Tables
 
-#: Sequence numbers wrap at 32 bits; half of the space counts as ahead.
+#: Sequence numbers wrap at 32 bits; a distance of less than half the space is ahead.
 SEQ_MASK = 0xFFFFFFFF
 SEQ_HALF = 0x80000000
 
-#: Seconds after the newest bytes from which older ones count as sent again. Ends
-#: wait 200 ms before they do; bytes of one burst overtake each other by some 5 ms,
-#: and taken for repetitions they would make every large upload count as silence.
+#: Seconds after the newest bytes from which older bytes count as retransmitted. Callers
+#: wait 200 ms before they retransmit, while bytes of one burst arrive out of order by
+#: some 5 ms. Taken for retransmissions, the latter would make every large upload count
+#: as a time-out of its target.
 RETRANSMISSION_GAP = 0.15
 
 
 def receive_packet(
     tables: Tables, packet: Packet, current: bool, now: float, actions: list[Action]
 ) -> None:
-    """Decide about one packet.
+    """Process one packet.
 
     Parameters
     ----------
@@ -61,11 +62,11 @@
     packet : Packet
         A packet from a caller.
     current : bool
-        Whether the configuration in force is certainly no older than its bound.
+        Whether the applied configuration is known to be no older than its bound.
     now : float
-        Seconds.
+        Current time in seconds.
     actions : list of Action
-        Takes what is to be done.
+        Receives the resulting actions.
     """
     tables.last_packet_at = now
     if tables.configuration == 0:
@@ -81,10 +82,10 @@
 
 
 def receive_unrouted(packet: Packet, current: bool, actions: list[Action]) -> None:
-    """Answer an opening to an address without a route.
+    """Refuse or drop a packet to an address without a route.
 
-    A host that may not have heard of the newest route stays silent: the caller
-    sends its opening again, and a reset would end an attempt that is allowed.
+    A host that may not have the newest route yet drops an opening silently. The caller
+    retransmits it, while a reset would end a connection attempt that is allowed.
     """
     if not packet.flags & SYN:
         actions.append(Drop(packet, DropReason.NO_ROUTE))
@@ -100,7 +101,7 @@
 def receive_established(
     tables: Tables, packet: Packet, route: Route, now: float, actions: list[Action]
 ) -> None:
-    """Forward a packet of a flow by its token, and note what it tells."""
+    """Forward a packet of a flow by its token, and record what it shows."""
     flow = tables.flows.get(packet.flow)
     if flow is None or not flow.open:
         row = tables.by_token.get(packet.token)
@@ -125,7 +126,7 @@
 def token_drop_reason(
     tables: Tables, packet: Packet, row: TargetRow | None
 ) -> DropReason | None:
-    """Return why a token forwards nothing, None if it names a target of the route."""
+    """Return why a token is refused, None if it names a target of the route."""
     if row is None:
         return DropReason.UNKNOWN_TOKEN
     if row.target.service not in tables.route_services[packet.route]:
@@ -143,9 +144,10 @@
 ) -> FlowRow | None:
     """Bind a flow to the target that its token names.
 
-    Its target has answered the opening, at some time. Only of an opening that passed
-    here is it known that this was a moment ago: flows of a host that has gone come
-    here after long pauses, and taken for answers they would clear a dead target.
+    The token shows that the target answered the opening at some time. Only if the
+    opening passed this host is that known to be recent. Flows of a host that has
+    stopped arrive here after long pauses; counted as answers, they would clear a
+    crashed target.
     """
     if flow is None:
         flow = start_flow(tables, packet, route, row, now)
@@ -153,7 +155,8 @@
             return None
     else:
         tables.histograms["opening_answered"].record(now - flow.first_sent_at)
-        # Which of several tries it answered, and so when that was sent, is not known.
+        # After several attempts it is unknown which one was answered, and when it was
+        # sent.
         sent_at = flow.first_sent_at if len(flow.tried) == 1 else -INFINITY
         if flow.target is not row:
             move_flow(flow, row)
@@ -166,7 +169,7 @@
 
 
 def update_flow(tables: Tables, packet: Packet, flow: FlowRow, now: float) -> None:
-    """Note requests, answers and repetitions that a packet shows."""
+    """Update a flow by the requests, answers and retransmissions in a packet."""
     touch_flow(tables, flow, now)
     size = (packet.ack - flow.ack) & SEQ_MASK
     if 0 < size < SEQ_HALF:
@@ -190,10 +193,10 @@
 def flow_reset_reason(
     tables: Tables, flow: FlowRow, packet: Packet, now: float
 ) -> ResetReason | None:
-    """Return why a flow cannot go on, None if it may.
+    """Return why a flow must be reset, None if it may continue.
 
-    Only requests that may run twice are ended: a reset tells the caller nothing
-    about whether one has run.
+    Only flows whose requests may run twice are reset, as a reset does not tell the
+    caller whether its request has run.
     """
     if not flow.idempotent or not packet.length:
         return None
@@ -212,7 +215,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """End a flow whose target cannot be reached."""
+    """Reset a flow whose target is unreachable or gone."""
     actions.append(ResetCaller(packet, reason))
     row = flow.target
     fields: dict[str, object] = {
--- a/citronspring/tokens/introspection.py
+++ b/citronspring/tokens/introspection.py
@@ -1,4 +1,4 @@
-"""What the core shows of itself: a state dump and metrics as text."""
+"""State dump and metrics of the token core."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def dump_state(tables: Tables, now: float) -> dict[str, object]:
-    """Return the state as plain values, for operators; times as seconds from now."""
+    """Return the state as JSON-compatible values, for operators.
+
+    Times are in seconds relative to now.
+    """
     return {
         "host": tables.host_id,
         "zone": tables.zone,
@@ -56,7 +59,7 @@
 
 
 def seconds(value: float) -> float | None:
-    """Return a rounded duration, None for one that is not positive or unknown."""
+    """Return a rounded duration, None if it is not positive or unknown."""
     return round(value, 3) if 0 < value < INFINITY else None
 
 
--- a/citronspring/tokens/messages.py
+++ b/citronspring/tokens/messages.py
@@ -1,4 +1,4 @@
-"""What the token core decides about a packet, and what the store answers."""
+"""Actions of the token core, and calls to the store with their answers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DropReason(LightEnum):
-    """Why a packet goes nowhere; each is counted."""
+    """Why a packet is dropped; each reason has a counter."""
 
     NO_ROUTE = "no-route"
     UNKNOWN_TOKEN = "unknown-token"
@@ -26,7 +26,7 @@
 
 
 class ResetReason(LightEnum):
-    """Why a caller gets a reset; each is counted."""
+    """Why a caller's flow is reset; each reason has a counter."""
 
     NO_ROUTE = "no-route"
     NO_TARGET = "no-target"
@@ -46,7 +46,7 @@
 
 @record
 class ResetCaller:
-    """End the caller's attempt at once, so that it can try again."""
+    """Reset a caller's flow immediately, so that the caller can retry."""
 
     packet: Packet
     reason: ResetReason
@@ -54,7 +54,7 @@
 
 @record
 class Drop:
-    """Count a packet that goes nowhere."""
+    """Drop a packet and count it."""
 
     packet: Packet
     reason: DropReason
@@ -70,7 +70,7 @@
 
 @record
 class Tell:
-    """Send a message to another host of the zone; it may be lost."""
+    """Send a message to another host of the zone, without guaranteed delivery."""
 
     #: Address of the host.
     to: str
@@ -80,12 +80,12 @@
 Action = Forward | ResetCaller | Drop | Log | Tell
 
 
-# What the reader asks of the store, and what it is told -----------------------
+# Calls to the store and their answers -----------------------------------------
 
 
 @record(eq=True)
 class ListEntries:
-    """Read every entry that the host follows, a page at a time."""
+    """List all entries that the host needs, one page per call."""
 
     #: Key after which the page starts; empty for the first page.
     after_key: str = ""
@@ -102,19 +102,20 @@
 
 @record(eq=True)
 class ReadPeer:
-    """Ask another host for a copy of what it knows, while the store is away."""
+    """Request a snapshot from another host while the store is unreachable."""
 
-    #: Which of the known peers, counted on without end.
+    #: Index of the peer; increases without limit and is taken modulo the number of
+    #: peers.
     turn: int
 
 
 @record(eq=True)
 class FollowReader:
-    """Wait for what the zone's reader has read above a revision."""
+    """Wait for changes that the zone reader has read above a revision."""
 
     endpoint: Endpoint
     after_revision: int
-    #: Seconds after which the reader answers that nothing has changed.
+    #: Seconds after which the zone reader answers that nothing has changed.
     wait: float
 
 
@@ -123,10 +124,10 @@
 
 @record
 class Page:
-    """Entries of one page, in the order of their keys."""
+    """Entries of one page, ordered by key."""
 
     entries: tuple[Entry, ...]
-    #: Revision of the store when it answered.
+    #: Revision of the store at the time of the answer.
     revision: int
     #: Key after which the next page starts; None after the last one.
     next_key: str | None
@@ -137,29 +138,30 @@
     """Changes above the revision of a watch, oldest first."""
 
     changes: tuple[Change, ...]
-    #: Revision of the last of them; None if nothing has changed. An answer without
-    #: news never moves a watch on: were it wrong, changes would be missed for good.
+    #: Revision of the last change; None if nothing has changed. An answer without
+    #: changes never advances the watch: if its revision were wrong, changes would be
+    #: missed permanently.
     revision: int | None
-    #: How often the store had come back from an older copy.
+    #: Restore epoch of the store.
     epoch: int = 0
 
 
 @record
 class HistoryLost:
-    """The store no longer knows what changed: list again."""
+    """The store no longer has the history of a watch; a new list is needed."""
 
-    #: How often the store had come back from an older copy.
+    #: Restore epoch of the store.
     epoch: int = 0
 
 
 @record
 class AnswerTooLarge:
-    """The answer is larger than the call allows; none of it was taken."""
+    """The answer exceeds the size limit of the call; it was discarded."""
 
 
 @record(eq=True)
 class Refused:
-    """The store took the call and did nothing."""
+    """The store refused the call without any effect."""
 
     #: HTTP status, for the log.
     status: int
@@ -167,39 +169,40 @@
 
 @record
 class Unanswered:
-    """No usable answer came in time; a write may or may not have happened."""
+    """No usable answer came in time; a write may or may not have taken effect."""
 
     cause: str
 
 
 @record
 class PeerSnapshot:
-    """What another host knows."""
+    """State of another host."""
 
     configuration: Configuration
-    #: Targets, and what operators want of zones.
+    #: Targets and zone drains.
     entries: tuple[Entry, ...]
-    #: Revision of the store that all of it stands at.
+    #: Revision of the store that the snapshot corresponds to.
     revision: int
-    #: Seconds since the peer knew that nothing else had changed.
+    #: Seconds since the peer knew that it had all changes.
     age: float
-    #: Whether it holds all kinds of entries; hosts of the first release leave drains
-    #: out.
+    #: Whether it holds all kinds of entries; hosts of the first release omit zone
+    #: drains.
     complete: bool
 
 
 @record
 class FeedAnswer:
-    """What the zone's reader has read above a revision."""
+    """Changes that the zone reader has read above a revision."""
 
     changes: tuple[FeedChange, ...]
-    #: Revision of the store that the reader stands at.
+    #: Revision of the store that the zone reader has read up to.
     revision: int
-    #: Seconds, when it answered, since it knew that nothing else had changed.
+    #: Seconds between the zone reader's last confirmation that it had all changes and
+    #: its answer.
     age: float
     #: Seconds for which it held the call.
     held: float
-    #: Revision of the configuration that the reader has in force.
+    #: Revision of the configuration that the zone reader has applied.
     configuration: int = 0
 
 
@@ -215,12 +218,12 @@
 )
 
 
-# How the hosts of a zone agree on its reader -----------------------------------
+# Election calls and their answers ---------------------------------------------
 
 
 @record(eq=True)
 class GrantLease:
-    """Ask the store for a lease."""
+    """Request a lease from the store."""
 
     #: Seconds after which it ends unless it is renewed.
     ttl: float
@@ -228,26 +231,26 @@
 
 @record(eq=True)
 class ClaimZone:
-    """Register as the reader of a zone, unless somebody else has come first."""
+    """Register as the reader of a zone, unless another host was first."""
 
     lease: int
     zone: str
     host_id: str
     endpoint: Endpoint
-    #: Revision of the entry that this one takes the place of, 0 where there is none.
+    #: Revision of the entry that this one replaces, 0 if there is none.
     replaces: int = 0
 
 
 @record(eq=True)
 class RenewLease:
-    """Keep a lease."""
+    """Renew a lease."""
 
     lease: int
 
 
 @record(eq=True)
 class EndLease:
-    """Give a lease up, and what is registered under it."""
+    """End a lease, which removes what is registered under it."""
 
     lease: int
 
@@ -257,21 +260,21 @@
 
 @record(eq=True)
 class LeaseGranted:
-    """A lease runs."""
+    """The store granted a lease."""
 
     lease: int
-    #: Seconds that the store gave it.
+    #: Duration of the lease in seconds, as granted by the store.
     ttl: float
 
 
 @record(eq=True)
 class Done:
-    """The store did what was asked."""
+    """The store carried out the call."""
 
 
 @record(eq=True)
 class ConditionFailed:
-    """Nothing was done, as somebody else was first."""
+    """Nothing was done, because another host was first."""
 
 
 @record(eq=True)
--- a/citronspring/tokens/openings.py
+++ b/citronspring/tokens/openings.py
@@ -1,4 +1,4 @@
-"""Openings: placed once, sent to another target too if no answer comes, or refused."""
+"""New flows: placing openings, retrying unanswered ones elsewhere, refusing them."""
 
 from __future__ import annotations
 
@@ -29,29 +29,29 @@
     from citronspring.tokens.rows import FlowRow, TargetRow
     from citronspring.tokens.tables import Tables
 
-#: Seconds within which a caller's next packet shows that an opening was answered.
-#: The way to the target, to the caller and back takes under 8 ms on the links of
-#: today; a slow target answers an opening within 2 ms. Far below the 200 ms after
-#: which a caller sends its opening again by itself.
+#: Seconds within which a caller's next packet shows that its opening was answered. A
+#: packet takes under 8 ms to the target, from there to the caller and back on current
+#: links, and a slow target answers an opening within 2 ms. The limit is far below the
+#: 200 ms after which a caller retransmits its opening.
 OPENING_ANSWER_TIMEOUT = 0.03
 
-#: Targets that one packet of the caller is sent to at most.
+#: Largest number of targets that one opening of a caller is sent to.
 MAX_TARGETS_PER_OPENING = 3
 
-#: Seconds after which an overdue opening is let go. The process stood still; the
-#: caller has sent copies since, perhaps through another host, and one more opening
-#: would answer a flow that is open elsewhere.
+#: Delay of a timer, in seconds, beyond which an unanswered opening is abandoned. The
+#: process has stalled; the caller has retransmitted since, perhaps through another
+#: host, and another opening would answer a flow that is open elsewhere.
 MAX_TIMER_DELAY = 0.2
 
 
 def receive_opening(
     tables: Tables, packet: Packet, route: Route, now: float, actions: list[Action]
 ) -> None:
-    """Place a new flow, or send its opening elsewhere if it came again."""
+    """Place a new flow, or handle a retransmitted opening."""
     if tables.stale:
-        # The caller has sent copies since, and its flow may be open through another
-        # host. Placed again, a second target would answer, and the caller's packets
-        # would stray to it.
+        # The caller has retransmitted, and its flow may be open through another host.
+        # If it were placed again, a second target would answer, and packets of the
+        # caller could be forwarded to that one.
         actions.append(Drop(packet, DropReason.WAITED))
         return
     flow = tables.flows.get(packet.flow)
@@ -72,10 +72,11 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Send an opening that came again to its target, or to another one."""
+    """Send a retransmitted opening to its target, or to another one."""
     drained = tables.is_drained(flow.target.target.zone)
     if flow.open and drained:
-        # It was overtaken; its target knows the flow, and is to get no opening now.
+        # The opening was overtaken by later packets. Its target knows the flow and must
+        # get no new opening now.
         actions.append(Drop(packet, DropReason.ZONE_DRAINED))
     elif flow.open:
         actions.append(Forward(packet, flow.target))
@@ -85,7 +86,8 @@
     elif drained:
         place_opening(tables, packet, route, flow, now, actions)
     else:
-        # Copies that waited here together: the first has had no time to be answered.
+        # Retransmissions that were queued here together; the first one cannot have been
+        # answered yet.
         actions.append(Forward(packet, flow.target))
 
 
@@ -97,7 +99,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Choose a target for an opening and send it there."""
+    """Choose a target for an opening and forward it."""
     tried = flow.tried if flow is not None else []
     service = choose_service(route, packet.seq)
     if flow is None and not passes_admission(tables, packet, route, service, now):
@@ -107,7 +109,7 @@
     if target is None:
         if not tried:
             refuse_without_target(tables, packet, route, service, now, actions)
-        # A target that was tried and leaves since may still answer.
+        # A target that was tried and is leaving may still answer.
         return
     log_placement(tables, packet, route, target, len(tried), now, actions)
     if flow is None:
@@ -123,10 +125,10 @@
 def passes_admission(
     tables: Tables, packet: Packet, route: Route, service: str | None, now: float
 ) -> bool:
-    """Whether an opening that was not placed here may be.
+    """Return whether an opening that was not placed here may be.
 
-    A copy of one that another host may have placed is always let in: its target may
-    have answered already, and the caller be about to go on.
+    A retransmission that another host may have placed is always admitted. Its target
+    may have answered already, and the caller be about to continue.
     """
     if service is None or packet.ack:
         return True
@@ -143,7 +145,7 @@
 
 
 def move_flow(flow: FlowRow, target: TargetRow) -> None:
-    """Count an unanswered opening at another target."""
+    """Assign an unanswered flow to another target."""
     count_load(flow.target, flows=-1)
     flow.target = target
     count_load(target, flows=1)
@@ -158,7 +160,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Log where an opening went, and what decided that."""
+    """Log the target of an opening and the inputs of that decision."""
     fields: dict[str, object] = {
         "flow": packet.flow,
         "route": route.name,
@@ -175,9 +177,9 @@
 def refuse_opening(
     packet: Packet, reason: ResetReason, actions: list[Action], **inputs: object
 ) -> None:
-    """Reset an opening that nothing was sent for; it has not run.
+    """Reset an opening that was sent to no target, so that nothing has run.
 
-    What decided it beside the reason goes into the log.
+    ``inputs`` are logged beside the reason.
     """
     actions.append(ResetCaller(packet, reason))
     fields = {"flow": packet.flow, "reason": reason.value, **inputs}
@@ -192,7 +194,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Refuse an opening that no target may be given, and say what decided that."""
+    """Refuse an opening for which no target is available, and log the cause."""
     reason = ResetReason.NO_TARGET
     if service is not None and only_in_drained_zones(tables, service):
         reason = ResetReason.ZONE_DRAINED
@@ -215,7 +217,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Refuse an opening whose request would be late, and say what decided that."""
+    """Refuse an opening whose request would miss its objective, and log the cause."""
     delay = current_delay(tables, service, now) if service is not None else 0.0
     refuse_opening(
         packet,
@@ -233,7 +235,7 @@
 def await_opening_answer(
     tables: Tables, packet: Packet, flow: FlowRow, now: float
 ) -> None:
-    """Have an opening looked at again once its answer is overdue."""
+    """Schedule a check of whether an opening was answered."""
     flow.opening = packet
     flow.first_sent_at = now
     flow.tried.append(flow.target)
@@ -241,7 +243,7 @@
 
 
 def unanswered_openings(tables: Tables, now: float) -> list[bytes]:
-    """Return the flows whose openings went unanswered, and note the silence."""
+    """Return the flows whose openings are unanswered, and record the time-outs."""
     overdue = []
     deadlines = tables.opening_deadlines
     while deadlines and deadlines[0][0] <= now:
@@ -250,7 +252,7 @@
         if flow is None or flow.open or now - deadline > MAX_TIMER_DELAY:
             continue
         if flow.first_sent_at > deadline - OPENING_ANSWER_TIMEOUT:
-            # It was sent once more since; that opening has a deadline of its own.
+            # It was sent again since; that opening has its own deadline.
             continue
         note_timeout(tables, flow.target, flow.first_sent_at, now)
         if len(flow.tried) < MAX_TARGETS_PER_OPENING:
--- a/citronspring/tokens/placement.py
+++ b/citronspring/tokens/placement.py
@@ -1,4 +1,4 @@
-"""Which target a new flow is given to."""
+"""Placement: choosing the target of a new flow."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     from citronspring.tokens.rows import TargetRow
     from citronspring.tokens.tables import Tables
 
-#: How much of a request a flow stands for while nothing is outstanding on it.
+#: Load that a flow without an outstanding request adds, relative to a request.
 IDLE_FLOW_LOAD = 0.25
 
-#: Load that a target of another zone counts as having. Below one request a slot, so
-#: that zone only decides between targets that are about equally busy.
+#: Load that is added to a target of another zone. It is below one request per slot, so
+#: that the zone only decides between targets that are about equally busy.
 OTHER_ZONE_PENALTY = 0.2
 
 
 def choose_service(route: Route, draw: int) -> str | None:
-    """Return a service of a route by its weight; the same for the same draw.
+    """Return a service of a route by weight; equal draws give the same service.
 
     Parameters
     ----------
@@ -45,15 +45,15 @@
 def choose_target(
     tables: Tables, service: str, tried: list[TargetRow], now: float
 ) -> TargetRow | None:
-    """Return the target of a service that a new flow goes to, None if there is none.
+    """Return the target of a service for a new flow, None if there is none.
 
-    Targets in doubt are used only when all are in doubt, and one that the opening
-    was sent to already only when there is no other. Cold ones come after both.
+    Avoided targets are used only if all are avoided, and one that the opening was sent
+    to before only if there is no other. Targets in warm-up come after both.
     """
     rows = tables.by_service.get(service)
     if not rows:
         return None
-    # Nearly always the least loaded of all will do; the others are not looked at.
+    # The least loaded target nearly always qualifies; then the others are not examined.
     best = min(rows, key=cached_order)
     if best not in tried and is_first_choice(tables, best, now):
         return best
@@ -67,22 +67,23 @@
 
 
 def is_first_choice(tables: Tables, row: TargetRow, now: float) -> bool:
-    """Whether nothing speaks against a target."""
+    """Whether a target can take new flows and has warmed up without being avoided."""
     warm = row.warm_at <= now
     return warm and is_placeable(tables, row) and not is_avoided(tables, row, now)
 
 
 def is_placeable(tables: Tables, row: TargetRow) -> bool:
-    """Whether a target may be given new flows at all."""
+    """Whether a target may get new flows at all."""
     return not row.target.leaving and not tables.is_drained(row.target.zone)
 
 
 def prefer_warm(tables: Tables, rows: list[TargetRow], now: float) -> list[TargetRow]:
-    """Return the warm targets, or all if no warm one may be in reach.
+    """Return the targets that have warmed up, or all if none of those may be reachable.
 
-    A cold target bears a few flows a second from all hosts together, and a host does
-    not know what the others send it. So it gets none while a warm one may answer, be
-    that full or silent for a moment: under a rush all of them are.
+    A target in warm-up can serve a few flows per second from all hosts together, and a
+    host does not know how many the others send. It therefore gets none while a warm
+    target may answer, even if that one is overloaded or unresponsive for a moment; in a
+    burst all of them are.
     """
     warm = [row for row in rows if row.warm_at <= now]
     if all(seems_unreachable(tables, row, now) for row in warm):
@@ -91,45 +92,46 @@
 
 
 def only_in_drained_zones(tables: Tables, service: str) -> bool:
-    """Whether a service has targets, and none outside of drained zones."""
+    """Whether a service has targets, but none outside of drained zones."""
     rows = tables.by_service.get(service, ())
     staying = [row for row in rows if not row.target.leaving]
     return bool(staying) and not any(is_placeable(tables, row) for row in staying)
 
 
 def tie_break_rank(host_id: str, target_id: str) -> int:
-    """Return a target's place among those that are alike to a host.
+    """Return a target's order among equally loaded targets, different on each host.
 
-    Hosts that start together know of no load. In one order for all, their first flows
-    would go to the same few targets; drawn by host, they spread over all of them.
+    Hosts that start together have no load data yet. With a common order, their first
+    flows would all go to the same few targets; with an order per host they spread over
+    all targets.
     """
     return crc32(f"{host_id} {target_id}".encode())
 
 
 def zone_penalty(tables: Tables, target: Target) -> float:
-    """Return the load that a target counts as having for its way."""
+    """Return the load that is added to a target for its zone."""
     return 0.0 if target.zone == tables.zone else OTHER_ZONE_PENALTY
 
 
 def cached_order(row: TargetRow) -> tuple[float, float, int]:
-    """Return what targets are ordered by, as it was counted last."""
+    """Return the cached placement order of a target."""
     return row.order
 
 
 def placement_order(row: TargetRow) -> tuple[float, float, int]:
-    """Return how busy a target is for its size; of equals, the longest unused first."""
+    """Return the sort key of placement: load per slot, then time of the last flow."""
     load = (row.busy + IDLE_FLOW_LOAD * (row.flows - row.busy)) / row.target.slots
     return load + row.zone_penalty, row.placed_at, row.rank
 
 
 def count_load(row: TargetRow, *, flows: int = 0, busy: int = 0) -> None:
-    """Count flows, and requests at work, that a target has got or lost."""
+    """Update the number of flows and outstanding requests at a target."""
     row.flows += flows
     row.busy += busy
     row.order = placement_order(row)
 
 
 def note_placed(row: TargetRow, now: float) -> None:
-    """Take that a target has been given a flow."""
+    """Record that a target was given a flow."""
     row.placed_at = now
     row.order = placement_order(row)
--- a/citronspring/tokens/rows.py
+++ b/citronspring/tokens/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the tables: targets, zones, services and flows, as a host sees them."""
+"""Rows of the tables: state of targets, zones, services and flows at this host."""
 
 from __future__ import annotations
 
@@ -12,112 +12,113 @@
 
 @record
 class TargetRow:
-    """A registered target with what this host counts and believes of it."""
+    """A registered target with this host's counts and assumptions about it."""
 
     target: Target
-    #: What packets of its flows carry.
+    #: Token that packets of its flows carry.
     token: int
-    #: Open flows that this host placed or saw.
+    #: Open flows that this host placed or has seen.
     flows: int = 0
     #: When it was last given a flow.
     placed_at: float = 0.0
-    #: Its place among targets that are alike, in an order of this host's own.
+    #: Order among equally loaded targets, specific to this host.
     rank: int = 0
-    #: Of these, flows with a request that is not answered yet.
+    #: Number of these flows that have an outstanding request.
     busy: int = 0
-    #: Load that it counts as having for its way.
+    #: Load that is added if it is in another zone.
     zone_penalty: float = 0.0
-    #: How busy it is for its size, and what decides among equals; see `placement_order`.
+    #: Cached sort key of placement; see `placement_order`.
     order: tuple[float, float, int] = (0.0, 0.0, 0)
-    #: Time until which it works slower after its start.
+    #: Time at which its warm-up ends.
     warm_at: float = 0.0
-    #: Time at which its entry left the store; infinite while it is there.
+    #: Time at which its entry was removed; infinite while it is registered.
     gone_at: float = INFINITY
-    #: When a caller last showed that the target had answered.
+    #: When a caller's packet last showed an answer of the target.
     answered_at: float = -INFINITY
-    #: When the first of those that it left unanswered since went out.
+    #: When the first opening or request was sent that it has not answered since.
     unanswered_since: float = INFINITY
-    #: Openings and requests it left unanswered since it last answered.
+    #: Number of openings and requests without an answer since its last answer.
     timeouts: int = 0
-    #: Flows that sent a request again in vain since; and when one last did.
+    #: Number of flows that have retransmitted since without an acknowledgement, and
+    #: time of the latest one.
     retransmissions: int = 0
     retransmitted_at: float = -INFINITY
-    #: When the first of these flows did, and when the request of the last one had been
-    #: sent first.
+    #: Time of the first of these retransmissions, and time at which the request of the
+    #: latest one was first sent.
     first_retransmitted_at: float = -INFINITY
     retransmitted_sent_at: float = -INFINITY
-    #: Time until which new flows rather go elsewhere.
+    #: Time until which new flows should go to other targets.
     avoid_until: float = 0.0
-    #: When this start of the target was first heard of.
+    #: When this incarnation of the target became known.
     known_at: float = -INFINITY
-    #: Time until which no host of the zone is believed to reach it, and since when
-    #: none has heard of it.
+    #: Time until which a verdict of the zone marks it as unreachable, and time since
+    #: which no host has seen an answer of it.
     unreachable_until: float = -INFINITY
     unreachable_since: float = INFINITY
 
 
 @record
 class ZoneRow:
-    """What is believed of the way to one availability zone."""
+    """State of the network path to one availability zone."""
 
     answered_at: float = -INFINITY
-    #: When the newest of what its targets have answered was sent.
+    #: Latest sending time of a packet that its targets have answered.
     answered_sent_at: float = -INFINITY
-    #: When a request to one of its targets was first sent again since it answered.
+    #: Time of the first retransmission to one of its targets since its last answer.
     first_retransmitted_at: float = -INFINITY
-    #: Time until which no target of the zone is believed to be in reach.
+    #: Time until which all targets of the zone are assumed to be unreachable.
     suspect_until: float = 0.0
-    #: Targets of it that are silent, with no answer from the zone since.
+    #: Number of its targets that are unresponsive since the zone's last answer.
     unresponsive_targets: int = 0
 
 
 @record
 class ServiceRow:
-    """How long requests of a service take, as this host sees it."""
+    """Response times of a service, as measured by this host."""
 
-    #: Median seconds from a request to its answer, of the newest requests.
+    #: Running median of the seconds from a request to its answer.
     median_delay: float = 0.0
-    #: Answers since there was none for a while.
+    #: Number of answers since the last long gap between them.
     answers: int = 0
     answered_at: float = -INFINITY
 
 
 @record
 class AnswerRow:
-    """How large answers on a route are, as this host sees it."""
+    """Answer sizes of a route, as measured by this host."""
 
-    #: Bytes that three of four answers do not reach, of the newest ones.
+    #: Size in bytes that three of four recent answers do not reach.
     usual_size: float = 0.0
     seen_at: float = 0.0
 
 
 @record
 class FlowRow:
-    """A flow whose packets pass here; none is needed to forward them."""
+    """A flow whose packets pass through this host; forwarding does not require it."""
 
     route: int
     target: TargetRow
     idempotent: bool
     #: Sequence number of the opening.
     first_seq: int
-    #: Number after the last byte of payload seen from the caller.
+    #: Sequence number after the last byte of payload seen from the caller.
     next_seq: int
     ack: int = 0
     #: False until a packet shows which target the caller's end is bound to.
     open: bool = False
-    #: Whether a request has gone to the target and no byte of an answer is seen.
+    #: Whether a request was forwarded and no byte of its answer has been seen.
     busy: bool = False
-    #: When the unanswered opening or request was sent first.
+    #: When the unanswered opening or request was first sent.
     first_sent_at: float = 0.0
-    #: When bytes of the request were sent last, new ones or the same again.
+    #: When bytes of the request were last sent, new or retransmitted.
     sent_at: float = 0.0
-    #: Times that the caller sent the same bytes again.
+    #: Number of retransmissions of the current bytes by the caller.
     retransmissions: int = 0
-    #: Time from which the row may be forgotten.
+    #: Time from which the row may be removed.
     expires_at: float = 0.0
     #: Targets that the opening was sent to.
     tried: list[TargetRow] = field(default_factory=list)
-    #: The opening itself, while it may have to be sent elsewhere.
+    #: The opening itself, while it may have to be sent to another target.
     opening: Packet | None = None
 
 
@@ -132,7 +133,7 @@
 
 @record
 class RetransmittedRequest:
-    """A request that its caller has sent again."""
+    """A request that its caller has retransmitted."""
 
     target: TargetRow
     sent_at: float
@@ -141,9 +142,9 @@
 
 @record
 class LocalPath:
-    """What shows whether the host's own link, socket and processor keep up."""
+    """Evidence on whether the host's own link, socket and processor work."""
 
     answers: deque[AnsweredRequest] = field(default_factory=deque)
     retransmissions: deque[RetransmittedRequest] = field(default_factory=deque)
-    #: When the host last stood still, or could not send.
+    #: When the host last stalled or failed to send.
     disturbed_at: float = -INFINITY
--- a/citronspring/tokens/tables.py
+++ b/citronspring/tokens/tables.py
@@ -1,4 +1,4 @@
-"""Tables of the token mode: routes, targets, flows and what is believed of them."""
+"""State of the token mode: routes, targets, flows, and assumptions about them."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
     from citronspring.tokens.entries import Entry, FeedChange, ZoneDrain, ZoneReader
     from citronspring.tokens.rows import FlowRow, TargetRow
 
-#: Flows a host keeps a row of; the others are forwarded by their token alone. At
-#: about 500 bytes a row this is 25 MB of the 120 MB that the smallest host has.
+#: Largest number of flow rows of a host; further flows are forwarded by their token
+#: alone. At about 500 bytes per row this is 25 MB of the 120 MB that the smallest host
+#: has.
 MAX_FLOWS = 50_000
 
 
 @record
 class Witness:
-    """A request that its target has left without an acknowledgement."""
+    """A request that its target has not acknowledged, as reported by a host."""
 
     host: str
     sent_at: float
@@ -28,12 +29,12 @@
 
 @record
 class OpenInquiry:
-    """The question that is being asked."""
+    """The open inquiry of a zone reader."""
 
     number: int
     deadline: float
     members: set[str]
-    #: When the newest requests to each target that it is about had been sent.
+    #: When the newest requests to each of the targets in question were sent.
     since: dict[int, float]
     replied: set[str]
     refuted: set[int]
@@ -41,42 +42,43 @@
 
 @record
 class InquiryState:
-    """What the reader of a zone hears from its hosts about silent targets."""
+    """State of the zone reader's inquiries about unresponsive targets."""
 
-    #: Reports by start of a target.
+    #: Reports by incarnation of the target.
     witnesses: dict[int, list[Witness]] = field(default_factory=dict)
-    #: Hosts of the zone, with the time of their last question for news.
+    #: Hosts of the zone, with the time of their last poll of the change feed.
     members: dict[str, float] = field(default_factory=dict)
     number: int = 0
     open: OpenInquiry | None = None
-    #: Times from which on the zone may be asked about a target again.
+    #: Times from which the zone may be asked about a target again, by incarnation.
     retry_at: dict[int, float] = field(default_factory=dict)
-    #: When targets that were reported turned out to have answered.
+    #: When suspicions were refuted by answers of the targets.
     refuted_at: deque[float] = field(default_factory=deque)
-    #: When nobody had heard of a target that was asked about, by its start.
+    #: When an inquiry found no answer of a target, by its incarnation.
     unrefuted_at: dict[int, float] = field(default_factory=dict)
 
 
 @record
 class StoreReaderState:
-    """How current the host's knowledge is, and what it asks the store next."""
+    """How current the host's state is, and its next call to the store."""
 
-    #: Largest revision of the store whose entries are in force here.
+    #: Largest revision of the store whose entries have been applied here.
     revision: int = 0
-    #: False until a complete list is in force, and after history was lost.
+    #: False until a complete list has been applied, and after the history was lost.
     listed: bool = False
-    #: Time before which nothing changed that is not in force here.
+    #: Time up to which all changes have been applied here.
     current_at: float = -INFINITY
-    #: When the next call may go out.
+    #: Time from which the next call may be made.
     call_at: float = 0.0
-    #: Failures since the last answer.
+    #: Number of failures since the last answer.
     failures: int = 0
-    #: Times in a row that a watch was answered that history is lost.
+    #: Number of consecutive watches that ended with lost history.
     histories_lost: int = 0
-    #: Set while an answer is wanted at once: it may bring a change that has long
-    #: been in force elsewhere.
+    #: Whether the next call must not wait: the answer may bring a change that has long
+    #: been applied elsewhere.
     wants_immediate_answer: bool = False
-    #: Pages of the list under way: revision of the first, and what was read.
+    #: Pages of the current list: revision of the first page, and the entries read so
+    #: far.
     list_revision: int = 0
     list_entries: list[Entry] = field(default_factory=list)
     list_sent_at: float = 0.0
@@ -85,83 +87,85 @@
 
 @record
 class RestoreGrace:
-    """Until when entries that the store has lost may be written again."""
+    """Deadlines for rewriting entries that a restored store has lost."""
 
-    #: Epoch of the store in which they were missed.
+    #: Restore epoch in which they were found missing.
     epoch: int = 0
     targets_deadline: float = INFINITY
     operators_deadline: float = INFINITY
 
     @property
     def next_deadline(self) -> float:
-        """Return the time at which something counts as gone."""
+        """Return the time at which the next missing entries count as removed."""
         return min(self.targets_deadline, self.operators_deadline)
 
     @property
     def awaits_targets(self) -> bool:
-        """Whether the store may lack what targets that live have written."""
+        """Whether the store may lack entries that running targets have written."""
         return self.targets_deadline < INFINITY
 
     @property
     def awaits_operators(self) -> bool:
-        """Whether the store may lack what operators have written."""
+        """Whether the store may lack entries that operators have written."""
         return self.operators_deadline < INFINITY
 
 
 @record
 class FollowState:
-    """How this host fares with the reader of its zone."""
+    """State of following the zone reader."""
 
-    #: Whether the last answer about the store came from that reader.
+    #: Whether the latest answer with store data came from the zone reader.
     following: bool = False
-    #: Failures of the reader since its last good answer.
+    #: Number of failures of the zone reader since its last valid answer.
     failures: int = 0
-    #: When it may be asked again.
+    #: Time from which it may be polled again.
     retry_at: float = 0.0
 
 
 @record
 class ElectionState:
-    """The part of this host in agreeing on the zone's reader."""
+    """State of this host in the election of the zone reader."""
 
-    #: The lease it holds, 0 for none, and when that ends unless it is renewed.
+    #: Number of the lease that it holds, 0 for none, and time at which that expires
+    #: unless it is renewed.
     lease: int = 0
     lease_deadline: float = -INFINITY
-    #: When it registers itself, as long as no reader is known until then.
+    #: Time at which it claims the zone, provided that no zone reader is known by then.
     claim_at: float = INFINITY
-    #: When the lease is renewed next.
+    #: Time at which the lease is renewed next.
     renew_at: float = INFINITY
-    #: Revision of the entry by which it is registered under a lease that it no longer
-    #: knows, as one of before its start.
+    #: Revision of the entry that registers it under a lease it does not know, such as
+    #: one from before a restart.
     stale_revision: int = 0
 
 
 @record
 class LoggedChange:
-    """A change with the revision of the store up to which this host had read then."""
+    """A change with the store revision that this host had read up to at the time."""
 
     revision: int
     change: FeedChange
     #: When this host read it.
     read_at: float
-    #: As it is handed on; made for the first follower that asks.
+    #: Its encoding for followers; made for the first one that asks.
     text: str = ""
 
 
 @record
 class ChangeLog:
-    """Changes put in force here, for hosts that follow; the oldest are let go."""
+    """Changes applied here, for followers; the oldest are dropped."""
 
-    #: Changes of the answer that is being put in force.
+    #: Changes of the answer that is being applied.
     pending: list[FeedChange] = field(default_factory=list)
-    #: Changes at or below this revision are not in the log.
+    #: The log does not contain changes at or below this revision.
     compacted_revision: int = 0
-    #: Revisions that the last list has skipped, both ends not included. Of what came
-    #: and went between them nothing is in the log.
+    #: Range of revisions that the last list has skipped, both ends excluded. The log
+    #: does not contain entries that were added and removed within it.
     skipped: tuple[int, int] = (0, 0)
     changes: deque[LoggedChange] = field(default_factory=deque)
-    #: Bytes a second that followers may cost, what of them is left, and since when;
-    #: until the settings are known, as on a link of 1 Gbit/s.
+    #: Token bucket for traffic to followers: rate in bytes per second, bytes available,
+    #: and time of the last refill. Until the settings are known, the rate is that of a
+    #: link of 1 Gbit/s.
     rate: float = 6_250_000.0
     bucket_level: float = 0.0
     bucket_updated_at: float = -INFINITY
@@ -179,87 +183,88 @@
 
     host_id: str
     zone: str
-    #: Other hosts that can be asked for a copy.
+    #: Number of other hosts that can be asked for a snapshot.
     peers: int = 0
-    #: Revision of the configuration in force; it never falls.
+    #: Revision of the applied configuration; it never decreases.
     configuration: int = 0
     idle_timeout: float = 15.0
     routes: dict[int, Route] = field(default_factory=dict)
-    #: Services that each route has had since this process started. A flow stays on
-    #: its target when its route turns to another service.
+    #: Services that each route has had since this process started. A flow stays on its
+    #: target when its route switches to another service.
     route_services: dict[int, set[str]] = field(default_factory=dict)
     targets: dict[str, TargetRow] = field(default_factory=dict)
     by_token: dict[int, TargetRow] = field(default_factory=dict)
-    #: Targets of each service that are registered, leaving ones too.
+    #: Registered targets of each service, including those that are leaving.
     by_service: dict[str, list[TargetRow]] = field(default_factory=dict)
     zones: dict[str, ZoneRow] = field(default_factory=dict)
     services: dict[str, ServiceRow] = field(default_factory=dict)
-    #: Answers by route.
+    #: Answer sizes by route.
     answers: dict[int, AnswerRow] = field(default_factory=dict)
-    #: Routes of each priority number.
+    #: Number of routes with each priority.
     priorities: Counter[int] = field(default_factory=Counter)
     flows: dict[bytes, FlowRow] = field(default_factory=dict)
     local_path: LocalPath = field(default_factory=LocalPath)
-    #: Requests sent again in vain since the last turn: target, and when sent first.
+    #: Unacknowledged retransmissions since the last event-loop iteration: target, and
+    #: when the request was first sent.
     suspected: list[tuple[TargetRow, float]] = field(default_factory=list)
     inquiry: InquiryState = field(default_factory=InquiryState)
-    #: Deadlines of openings as (time, flow); a heap.
+    #: Heap of deadlines of unanswered openings, as (time, flow).
     opening_deadlines: list[tuple[float, bytes]] = field(default_factory=list)
     reader: StoreReaderState = field(default_factory=StoreReaderState)
-    #: The registered reader of each zone.
+    #: The registered zone reader of each zone.
     zone_readers: dict[str, ZoneReader] = field(default_factory=dict)
-    #: What operators last wanted of each zone that they have ever drained.
+    #: Latest drain state of each zone that has ever been drained.
     zone_drains: dict[str, ZoneDrain] = field(default_factory=dict)
     restore_grace: RestoreGrace = field(default_factory=RestoreGrace)
     follow: FollowState = field(default_factory=FollowState)
     election: ElectionState = field(default_factory=ElectionState)
     change_log: ChangeLog = field(default_factory=ChangeLog)
-    #: When the process last took a turn, and whether what waits in its socket may
-    #: have waited for long.
+    #: When the last event-loop iteration began, and whether packets in the socket's
+    #: queue may have waited for long.
     iteration_started_at: float = INFINITY
     stale: bool = False
-    #: When rows are looked through for what has expired.
+    #: When expired rows are removed next.
     sweep_at: float = 0.0
-    #: Set once the host is to stop: the latest time at which it exits.
+    #: Latest time at which the host exits; None unless it is leaving.
     leave_deadline: float | None = None
     leaving_since: float = 0.0
-    #: Time of the last packet, to see when a leaving host is quiet.
+    #: Time of the last packet, to detect that a leaving host is out of rotation.
     last_packet_at: float = 0.0
     counters: Counter[str] = field(default_factory=Counter)
     histograms: dict[str, Histogram] = field(default_factory=make_histograms)
 
     @property
     def lowest_priority(self) -> int:
-        """Largest priority number of a route, which is the least urgent one's."""
+        """Largest priority number of a route, that of the least urgent one."""
         return max(self.priorities, default=0)
 
     @property
     def drained_zones(self) -> list[str]:
-        """Zones whose targets are to get nothing new."""
+        """Zones whose targets get no new flows."""
         drains = self.zone_drains.values()
         return sorted(drain.zone for drain in drains if not drain.ended)
 
     def is_drained(self, zone: str) -> bool:
-        """Whether the targets of a zone are to get nothing new."""
+        """Whether the targets of a zone get no new flows."""
         drain = self.zone_drains.get(zone)
         return drain is not None and not drain.ended
 
     def zone_row(self, zone: str) -> ZoneRow:
-        """Return the row of a zone, made when it is first heard of."""
+        """Return the row of a zone, creating it if needed."""
         row = self.zones.get(zone)
         if row is None:
             row = self.zones[zone] = ZoneRow()
         return row
 
     def answer_row(self, route: int) -> AnswerRow:
-        """Return the row of a route's answers, made when one is first seen."""
+        """Return the answer sizes of a route, creating the row if needed."""
         row = self.answers.get(route)
         if row is None:
             row = self.answers[route] = AnswerRow()
         return row
 
     def service_row(self, service: str) -> ServiceRow:
-        """Return the row of a service, made when it is first heard of."""
+        """Return the row of a service, creating it if needed."""
         row = self.services.get(service)
         if row is None:
             row = self.services[service] = ServiceRow()
--- a/tests/test_tokens/driver.py
+++ b/tests/test_tokens/driver.py
@@ -1,4 +1,4 @@
-"""Drives a token core by hand: a store that answers at once, packets, and time."""
+"""Drives a token core step by step: packets, time, and answers of the store."""
 
 from __future__ import annotations
 
@@ -24,10 +24,11 @@
 ORDERS = route_key(ADDRESS, 8443)
 CONTROL_ROUTE = route_key(ADDRESS, 80)
 
-#: Number of a target of another service, which answers whatever happens.
+#: Incarnation of a target of another service that always answers.
 CONTROL_TARGET = 0x99
 
-#: Seconds within which a change must be in force, and those after a trouble.
+#: Seconds within which a change must be applied, and those after a fault from which
+#: that holds again.
 BOUND = 3.0
 SETTLING = 4.0
 
@@ -58,7 +59,7 @@
 
 
 class Driver:
-    """A host in zone north with a clock that the test moves."""
+    """A host in zone north with a clock that the test controls."""
 
     def __init__(self, *targets, configuration=None, now=100.0):
         times = ReaderTimes.from_bounds(BOUND, SETTLING)
@@ -74,7 +75,7 @@
         return self.core.tables
 
     def list_store(self, *entries, revision=None, unreadable=()):
-        """Have the host read the store as a whole."""
+        """Let the host list the store."""
         self.now = max(self.now, self.tables.reader.call_at)
         self.call = self.core.next_call(self.now)
         assert self.call == ListEntries()
@@ -86,31 +87,31 @@
         self.answer(Page(entries, revision, None))
 
     def answer(self, answer, sent_at=None):
-        """Give the core the answer to its call."""
+        """Pass the answer to the open call to the core."""
         sent_at = self.now if sent_at is None else sent_at
         actions = self.core.handle_store_answer(self.call, answer, sent_at, self.now)
         return self.collect_logs(actions)
 
     def change(self, *changes):
-        """Have a watch bring changes."""
+        """Let a watch bring changes."""
         self.revision += 1
         return self.answer(Changes(tuple(changes), self.revision))
 
     def remove(self, number):
-        """Have a target's entry go from the store."""
+        """Remove a target's entry from the store."""
         self.change(TargetRemoved(f"i-{number:x}", self.revision + 1))
 
     def fail_call(self):
-        """Have the call under way come to nothing."""
+        """Let the open call fail."""
         return self.answer(Unanswered("no answer in time"))
 
     def collect_logs(self, actions):
-        """Put log events aside and return the other actions."""
+        """Collect log events and return the other actions."""
         self.logs += [action for action in actions if isinstance(action, Log)]
         return [action for action in actions if not isinstance(action, Log)]
 
     def wait(self, seconds):
-        """Let time pass, running timers as they come due."""
+        """Advance the clock and run timers that become due."""
         until = self.now + seconds
         actions = []
         while True:
@@ -123,14 +124,14 @@
         return actions
 
     def receive(self, packet):
-        """Give the core a packet and return its only action."""
+        """Pass a packet to the core and return its only action."""
         (action,) = self.collect_logs(self.core.receive(packet, self.now))
         return action
 
     def answer_control_openings(self):
-        """Have targets of another service answer two openings that go out now.
+        """Let targets of another service answer two openings that are sent now.
 
-        Nothing else shows that the silence of a target is not the host's own doing.
+        This is the only evidence that a time-out of a target is not caused by the host.
         """
         if CONTROL_ROUTE not in self.tables.routes:
             routes = (*self.tables.routes.values(), make_route(CONTROL_ROUTE, "others"))
@@ -144,7 +145,7 @@
             self.caller(0x8000 + self.control_count, CONTROL_ROUTE).connect()
 
     def caller(self, port, route=PREVIEWS):
-        """Return a caller's end of a flow."""
+        """Return the caller's end of a flow."""
         return Caller(self, port, route)
 
 
@@ -176,7 +177,7 @@
         return action.target
 
     def finish_handshake(self, row):
-        """Take a target's answer to the opening and confirm it."""
+        """Receive a target's answer to the opening and acknowledge it."""
         self.token = token_of(row.target.incarnation)
         self.seq += 1
         self.ack = 5001
@@ -189,7 +190,7 @@
         return action
 
     def retransmit(self, length=100):
-        """Send the last request again."""
+        """Retransmit the last request."""
         return self.send(ACK, length, seq=self.seq - length)
 
     def acknowledge_answer(self, length=900):
@@ -198,12 +199,12 @@
         return self.send(ACK)
 
     def close(self):
-        """End the flow."""
+        """Close the flow."""
         return self.send(FIN | ACK)
 
 
 def target_of(action):
-    """Return the id of the target a packet went to."""
+    """Return the id of the target that a packet was sent to."""
     assert isinstance(action, Forward), action
     return action.target.target.target_id
 
--- a/tests/test_tokens/test_admission.py
+++ b/tests/test_tokens/test_admission.py
@@ -1,4 +1,4 @@
-"""Who is let in while requests take long."""
+"""Tests of load shedding: which flows are admitted while requests take long."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def loaded_driver(delay, *, objective=OBJECTIVE):
-    """Return a host whose targets take so long for each request."""
+    """Return a host whose targets take ``delay`` seconds per request."""
     previews = make_route(PREVIEWS, priority=2, objective=objective)
     orders = make_route(ORDERS, priority=1, objective=objective, idempotent=False)
     configuration = make_configuration(1, (previews, orders))
@@ -49,7 +49,7 @@
 
 
 def refused(driver, route=PREVIEWS, count=200):
-    """Return how many of some openings are refused."""
+    """Return how many of some new flows are refused."""
     actions = [driver.caller(port, route).open() for port in range(100, 100 + count)]
     return sum(isinstance(action, ResetCaller) for action in actions)
 
@@ -59,10 +59,10 @@
 
 
 def test_all_flows_are_refused_when_requests_would_be_late():
-    """Every request waits through full queues and is late.
+    """Every request waits through full queues and misses its objective.
 
-    A caller that is refused at once can try elsewhere, or tell its user; let in, it
-    would be late, and make those before it late.
+    A caller that is refused immediately can retry elsewhere or report to its user. If
+    it were admitted, its request and those before it would be late.
     """
     driver = loaded_driver(0.14)
     assert refused(driver) == 200
@@ -90,7 +90,7 @@
 
 
 def test_flows_are_admitted_after_the_median_expires():
-    """All openings were refused, and no flow is left to tell that the load has gone."""
+    """All openings were refused, so no flow is left that could measure the load."""
     driver = loaded_driver(0.14)
     assert refused(driver) == 200
     driver.now += 0.6
@@ -98,10 +98,10 @@
 
 
 def test_retransmitted_opening_is_never_refused():
-    """Another host has placed the opening, and left the routers' rotation since.
+    """Another host has placed the opening, and has left the routers' rotation since.
 
-    The target may have answered, and its answer be on the way. A refusal would end an
-    attempt that is about to be served.
+    The target's answer may be on its way. A refusal would end a connection attempt that
+    is about to succeed.
     """
     driver = loaded_driver(0.14)
     retransmission = Packet(b"flow", PREVIEWS, SYN, 0, 77, 1, 0)
@@ -116,10 +116,10 @@
 
 
 def test_few_long_requests_cause_no_refusal():
-    """A host of a large fleet sees an upload or two of a service a second.
+    """A host of a large fleet sees one or two uploads of a service per second.
 
-    One over a slow link takes half of the objective. Taken for the median, it would
-    have the next callers refused while every target is idle.
+    An upload over a slow link takes half of the objective. If that were taken for the
+    median, the next callers would be refused while every target is idle.
     """
     objective = 1.345
     driver = Driver(
@@ -138,7 +138,7 @@
 
 
 def test_single_long_requests_move_the_median_little():
-    """A third of the targets is ten times slower; the others have room."""
+    """A third of the targets is ten times slower; the others have capacity."""
     service = ServiceRow()
     for number in range(300):
         note_time_to_answer(service, 0.3 if number % 3 == 0 else 0.03, 1.0)
@@ -172,10 +172,12 @@
 
 
 def test_refusal_by_an_overloaded_target_is_no_answer():
-    """Targets are full, and most of what they send says so after a tenth of a second.
+    """Refusals by overloaded targets must not count as response times.
 
-    Answers take a third of a second. With both counted alike the median is below what
-    has openings refused, and two thirds of all requests go to full targets in vain.
+    The targets are overloaded, and most of what they send are refusals after a tenth of
+    a second, while answers take a third of a second. If both were counted, the median
+    would stay below the shedding threshold, and two thirds of all requests would go to
+    overloaded targets in vain.
     """
     row, service = AnswerRow(), ServiceRow()
     for number in range(200):
@@ -188,7 +190,7 @@
 
 
 def test_smaller_answers_count_after_a_while():
-    """A release answers with a quarter of the bytes."""
+    """A new release answers with a quarter of the bytes."""
     row = AnswerRow()
     for number in range(50):
         assert note_answer_size(row, 1000, number * 0.1)
--- a/tests/test_tokens/test_leaving.py
+++ b/tests/test_tokens/test_leaving.py
@@ -1,4 +1,4 @@
-"""A planned stop: unready first, forwarding on, gone within the grace."""
+"""Tests of a planned stop: unready first, and exit within the grace time."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def test_forwards_while_routers_still_send():
-    """An operator stops a host; routers miss its readiness twice, then turn away.
+    """An operator stops a host; routers stop sending after two failed readiness probes.
 
-    Until then callers' packets still come, and are forwarded as before. A host
-    that stopped at the signal would lose a second of them.
+    Until then callers' packets still arrive and must be forwarded. A host that exits at
+    the signal would lose a second of them.
     """
     driver = Driver(make_target(1))
     caller = driver.caller(1)
@@ -40,7 +40,7 @@
 
 
 def test_is_not_ready_before_it_knows_a_configuration():
-    """A host starts while the store is down: it has nothing to place flows by."""
+    """A host starts while the store is down and has no configuration yet."""
     driver = Driver(make_target(1))
     assert driver.core.ready
     driver.tables.configuration = 0
--- a/tests/test_tokens/test_openings.py
+++ b/tests/test_tokens/test_openings.py
@@ -1,4 +1,4 @@
-"""Openings: placed once, tried elsewhere in time, refused only when it is true."""
+"""Tests of new flows: placing, retrying and refusing them."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 def test_unanswered_opening_goes_to_another_target():
     """A target has just crashed, and the store does not know yet.
 
-    The opening to it stays unanswered for 30 ms. It is sent to another target at
-    once; waiting for the caller's own copy would cost 200 ms.
+    The opening to it stays unanswered for 30 ms. It is sent to another target
+    immediately; waiting for the caller's retransmission would cost 200 ms.
     """
     driver = Driver(make_target(1), make_target(2))
     caller = driver.caller(1)
@@ -35,10 +35,10 @@
 
 
 def test_retransmissions_that_were_queued_go_to_one_target():
-    """The host stood still; an opening and the caller's copies wait in its socket.
+    """The host stalled; an opening and its retransmissions are queued in its socket.
 
-    All three are read in one go. Sent to three targets, two would answer a flow
-    that never opens there, and two healthy targets would count as silent.
+    All three are read at once. If they went to three targets, two would answer a flow
+    that never opens there, and two healthy targets would count as unresponsive.
     """
     driver = Driver(make_target(1), make_target(2), make_target(3))
     caller = driver.caller(1)
@@ -48,10 +48,10 @@
 
 
 def test_flow_stays_on_the_target_that_its_token_names():
-    """An opening went to two targets, and the first answered late after all.
+    """An opening was sent to two targets, and the first one answered late.
 
-    The caller's first packet names the target it chose; from then on that one
-    gets every packet, also when a late second answer changed what it returns.
+    The caller's first packet names the target that it chose. From then on that target
+    gets every packet, even if a late second answer changes the token that is returned.
     """
     driver = Driver(make_target(1), make_target(2))
     caller = driver.caller(1)
@@ -64,10 +64,10 @@
 
 
 def test_only_a_current_host_refuses_a_missing_route():
-    """A route was added a moment ago, and this host's reading hangs.
+    """A route was added a moment ago, and this host's reading of the store hangs.
 
-    Its knowledge is older than the bound, so it stays silent. A reset would end
-    an attempt that the newest configuration allows.
+    Its state is older than the bound, so it drops the opening silently. A reset would
+    end an attempt that the newest configuration allows.
     """
     driver = Driver(make_target(1))
     unknown = PREVIEWS + 1
@@ -89,7 +89,7 @@
 
 
 def test_second_attempt_never_goes_to_a_leaving_target():
-    """A target starts to leave between an opening and its second try."""
+    """A target starts to leave between an opening and its second attempt."""
     driver = Driver(make_target(1), make_target(2))
     first = target_of(driver.caller(1).open())
     other = 3 - int(first.removeprefix("i-"))
@@ -98,9 +98,9 @@
 
 
 def test_opening_is_not_refused_while_a_tried_target_may_answer():
-    """The only target takes an opening and starts to leave before it answers.
+    """The only target gets an opening and starts to leave before it answers.
 
-    It still serves. A reset at the second try would end an attempt that succeeds.
+    It still serves. A reset at the second attempt would end a connection that succeeds.
     """
     driver = Driver(make_target(1))
     driver.caller(1).open()
@@ -115,7 +115,7 @@
 
 
 def test_busy_target_is_passed_over():
-    """One target works on a request, the other on none: the other is chosen."""
+    """One target is processing a request, the other is not: the other is chosen."""
     driver = Driver(make_target(1), make_target(2))
     caller = driver.caller(1)
     busy = caller.connect()
@@ -134,10 +134,10 @@
 
 
 def test_flow_keeps_its_target_when_its_route_switches_services():
-    """The operators turn a route to another service under an open preview.
+    """Operators switch a route to another service while a preview is open.
 
-    The flow's token names a target of the old service. It goes on there; only new
-    flows go to the new one.
+    The flow's token names a target of the old service. The flow stays there; only new
+    flows go to the new service.
     """
     driver = Driver(make_target(1), make_target(2, service="archive"))
     caller = driver.caller(1)
@@ -149,9 +149,9 @@
 
 
 def test_invalid_tokens_are_not_forwarded():
-    """A caller sends tokens that were never issued, or of another service.
+    """A caller sends tokens that were never issued, or that belong to another service.
 
-    Followed, they would let it reach any target, of any client account.
+    If they were accepted, it could reach any target of any client account.
     """
     driver = Driver(make_target(1), make_target(2, service="archive"))
     caller = driver.caller(1)
@@ -171,7 +171,7 @@
 
 
 def test_another_host_forwards_by_the_token_alone():
-    """The host that placed a flow was killed; its packets reach another one."""
+    """The host that placed a flow was killed; its packets reach another host."""
     targets = [make_target(number) for number in range(1, 8)]
     first, second = Driver(*targets), Driver(*targets)
     caller = first.caller(1)
@@ -181,7 +181,7 @@
 
 
 def test_full_table_still_forwards(monkeypatch):
-    """A flood fills the table of flows: memory stays bounded, flows are served."""
+    """A flood fills the flow table: memory stays bounded, and flows are served."""
     monkeypatch.setattr("citronspring.tokens.flows.MAX_FLOWS", 1)
     driver = Driver(make_target(1))
     driver.caller(1).connect()
@@ -193,10 +193,11 @@
 
 
 def test_opening_that_was_queued_during_a_stall_is_not_placed():
-    """A host is frozen for seconds with an opening in its socket, then thaws.
+    """A host stalls for seconds with an opening in its socket's queue, then resumes.
 
-    The caller's copy went through another host, and its flow is open. Placed here
-    too, a second target would answer and the caller's packets would stray to it.
+    The caller's retransmission went through another host, and its flow is open. If the
+    opening were placed here too, a second target would answer, and the caller's packets
+    could be forwarded to it.
     """
     driver = Driver(make_target(1), make_target(2))
     driver.core.begin_iteration(driver.now)
@@ -208,7 +209,7 @@
 
 
 def test_stall_within_an_iteration_is_detected():
-    """The process stands still after its turn has begun, between two packets."""
+    """The process stalls within an event-loop iteration, between two packets."""
     driver = Driver(make_target(1))
     driver.core.begin_iteration(driver.now)
     assert isinstance(driver.caller(1).open(), Forward)
@@ -218,7 +219,7 @@
 
 
 def test_sleep_is_no_stall():
-    """The process slept because nothing came; the first opening is placed."""
+    """The process slept because nothing arrived; the first opening is placed."""
     driver = Driver(make_target(1))
     driver.core.begin_iteration(driver.now)
     driver.now += 0.5
@@ -227,7 +228,7 @@
 
 
 def test_timer_that_is_far_too_late_sends_nothing():
-    """The host stood still between an opening and its second try."""
+    """The host stalled between an opening and its second attempt."""
     driver = Driver(make_target(1), make_target(2))
     caller = driver.caller(1)
     row = caller.open().target
--- a/tests/test_tokens/test_placement.py
+++ b/tests/test_tokens/test_placement.py
@@ -1,4 +1,4 @@
-"""Which targets new flows go to when many hosts place them."""
+"""Tests of placement by many hosts at once."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
     make_target,
 )
 
-#: A zone of a large fleet: hosts, targets in it, and openings each host gets at once.
+#: A zone of a large fleet: hosts, targets in it, and openings that each host gets at
+#: once.
 HOSTS = 39
 TARGETS = 24
 OPENINGS = 3
@@ -39,12 +40,12 @@
 
 
 def test_hosts_that_start_together_use_all_targets():
-    """Callers come back after a loss of power and wait, or are turned away.
+    """After a power loss, callers reconnect and wait or are refused.
 
-    All hosts have lost power and start within a moment. None has placed a flow yet, so
-    that to each all targets are alike, and each takes them in the order of the list:
+    All hosts have lost power and start at the same time. None has placed a flow yet, so
+    all targets are equally loaded, and each host used them in the order of the list:
     the same for all. Of 117 targets 52 got the 306 openings of a route in those two
-    seconds, one of them 16, and shed what its queue did not hold.
+    seconds, one of them 16, and refused what its queue did not hold.
     """
     targets = [make_target(number) for number in range(1, TARGETS + 1)]
     hosts = [started_host(number, targets) for number in range(HOSTS)]
--- a/tests/test_tokens/test_warmup.py
+++ b/tests/test_tokens/test_warmup.py
@@ -1,4 +1,4 @@
-"""Targets that have just started get no new flows while others can take them."""
+"""Tests of warm-up: starting targets get no new flows while others can take them."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 def test_target_in_warmup_gets_no_flow_while_another_is_warm():
-    """A zone comes back with targets that are slow and hold no flow.
+    """A zone recovers with targets that are slow and hold no flow.
 
-    By flows alone they are the least loaded: every host would give them its next ones,
-    and together far more than they bear.
+    By their flows alone they are the least loaded: every host would give them its next
+    flows, together far more than they can serve.
     """
     driver = Driver(make_target(1), make_target(2, warmup=2.0))
     assert set(place(driver, range(30))) == {"i-1"}
@@ -38,7 +38,7 @@
 
 
 def test_target_in_warmup_gets_no_flow_while_warm_ones_are_overloaded():
-    """In a rush the warm targets leave openings unanswered, and seem silent."""
+    """In a burst the warm targets leave openings unanswered and seem unresponsive."""
     driver = Driver(make_target(1), make_target(2), make_target(3, warmup=2.0))
     for port in range(UNREACHABLE_TIMEOUTS // 2):
         driver.caller(port, ORDERS).open()
@@ -61,7 +61,7 @@
 
 
 def test_target_in_warmup_is_used_when_the_warm_one_crashed():
-    """The only warm target has ended without a word; its entry is still there."""
+    """The only warm target has crashed; its entry is still there."""
     driver = Driver(make_target(1), make_target(2, warmup=9.0))
     tried = []
     for port in range(UNREACHABLE_TIMEOUTS):
@@ -74,7 +74,7 @@
 
 
 def test_targets_in_warmup_of_a_partitioned_zone_are_used():
-    """The host's zone came back cold, and is cut off from the warm ones."""
+    """The host's zone has restarted and is partitioned from the warm targets."""
     driver = Driver(
         make_target(1, warmup=20.0), make_target(2, "south"), make_target(3, "south")
     )
@@ -86,7 +86,7 @@
 
 
 def test_snapshots_contain_the_remaining_warmup():
-    """A copy is taken 1.5 s after the entry of a cold target was read."""
+    """A snapshot is taken 1.5 s after the entry of a target in warm-up was read."""
     peer = Driver(make_target(1, warmup=2.0), make_target(2))
     peer.now += 1.5
     driver = restarted_host(Driver(make_target(2), now=peer.now))
@@ -97,9 +97,9 @@
 
 
 def test_change_feed_contains_the_remaining_warmup():
-    """A follower hears of a cold target later than its reader.
+    """A follower hears of a target in warm-up later than its zone reader.
 
-    Counted anew from there, the target would rest for longer than it is cold.
+    If the warm-up were counted from then, it would last too long.
     """
     reader = make_zone_reader(make_target(2))
     after = reader.tables.reader.revision
@@ -127,9 +127,9 @@
 
 
 def test_target_that_recovers_after_long_is_used_again():
-    """A target left many openings unanswered, and is back; others are warm.
+    """A target left many openings unanswered and has recovered; others are warm.
 
-    Were it left out for good, the others would carry its load for ever.
+    If it were excluded permanently, the others would carry its load forever.
     """
     driver = Driver(make_target(1), make_target(2))
     row = driver.tables.targets["i-1"]
