--- a/tests/test_tokens/test_change_feed.py
+++ b/tests/test_tokens/test_change_feed.py
@@ -64,7 +64,7 @@
     assert poll_reader(driver, after=5).changes == ()
 
 
-def draining_in(feed):
+def leaving_targets(feed):
     """Return the targets that are leaving according to a zone reader's answer."""
     targets = [change for change in feed.changes if isinstance(change, Target)]
     return {target.target_id for target in targets if target.leaving}
@@ -84,10 +84,10 @@
     next_call(driver)
     leaving = make_target(2, leaving=True, revision=21)
     driver.answer(Page((leaving,), 21, None))
-    assert draining_in(poll_reader(driver, after=20)) == {"i-2"}
+    assert leaving_targets(poll_reader(driver, after=20)) == {"i-2"}
     next_call(driver)
     driver.answer(Changes((leaving,), 21))
-    assert draining_in(poll_reader(driver, after=20)) == {"i-2"}
+    assert leaving_targets(poll_reader(driver, after=20)) == {"i-2"}
     assert poll_reader(driver, after=21).changes == ()
 
 
--- a/tests/test_tokens/test_drains.py
+++ b/tests/test_tokens/test_drains.py
@@ -107,7 +107,7 @@
     assert target_of(caller.send_request()) == "i-1"
 
 
-def test_second_attempt_of_a_opening_goes_elsewhere():
+def test_second_attempt_of_an_opening_goes_elsewhere():
     """The zone of the first target is drained before the target has answered."""
     driver = Driver(make_target(1), make_target(2), make_target(3, "south"))
     action = driver.caller(1).open()
--- a/tests/test_tokens/test_election.py
+++ b/tests/test_tokens/test_election.py
@@ -219,7 +219,7 @@
     assert candidate.core.next_election_deadline() > candidate.driver.now
 
 
-class TestReturn:
+class TestRestartedReader:
     """A zone reader crashes and restarts before its lease has ended."""
 
     def test_claims_its_zone_again_at_once(self):
--- a/tests/test_tokens/test_evidence.py
+++ b/tests/test_tokens/test_evidence.py
@@ -249,7 +249,7 @@
         assert isinstance(caller.send_request(), Forward)
 
 
-class TestSilence:
+class TestTimeouts:
     def test_unresponsive_target_does_not_crash_the_process(self):
         """Many callers retransmit orders to an unreachable target again and again.
 
--- a/tests/test_tokens/test_local_path.py
+++ b/tests/test_tokens/test_local_path.py
@@ -138,7 +138,8 @@
         """A saturated link drops every third packet; what gets through is answered.
 
         By chance two requests to one target are lost with their retransmissions, while
-        requests to others succeed. Answers alone would be a sufficient control.
+        requests to others succeed. The answers alone would pass as a control, so losses
+        count too.
         """
         assert isinstance(self.lose_request_to_another_target(answered=2), Forward)
 
--- a/tests/test_tokens/test_restarts.py
+++ b/tests/test_tokens/test_restarts.py
@@ -30,7 +30,7 @@
     driver.change(target)
 
 
-class TestNewStart:
+class TestNewIncarnation:
     def test_state_of_the_old_incarnation_is_dropped(self):
         """A target crashes with open flows and restarts at once under its id.
 
--- a/tests/test_tokens/test_warmup.py
+++ b/tests/test_tokens/test_warmup.py
@@ -55,7 +55,7 @@
     assert set(place(driver, range(4))) == {"i-1", "i-2"}
 
 
-def test_target_in_warmup_is_used_when_the_warm_ones_drain():
+def test_target_in_warmup_is_used_when_the_warm_ones_leave():
     driver = Driver(make_target(1, leaving=True), make_target(2, warmup=2.0))
     assert set(place(driver, range(4))) == {"i-2"}
 
