--- a/tests/test_tokens/test_election.py
+++ b/tests/test_tokens/test_election.py
@@ -1,4 +1,4 @@
-"""One host of a zone registers as its reader, and another one once it is gone."""
+"""Tests of the election of the zone reader."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Candidate:
-    """A host of zone north, and what it asks the store for next."""
+    """A host of zone north and its election calls."""
 
     def __init__(self):
         self.driver = Driver(make_target(1))
@@ -45,8 +45,8 @@
         now = self.driver.now if now is None else now
         self.core.handle_election_answer(call, answer, now, now)
 
-    def hold_lease(self):
-        """Have the host claim its zone with success; return it."""
+    def claim_zone(self):
+        """Let the host claim its zone successfully; return it."""
         assert self.next_call() is None
         self.driver.now += DELAY
         self.answer(self.next_call(), LeaseGranted(7, LEASE_SECONDS))
@@ -56,14 +56,14 @@
         return self
 
     def register(self):
-        """Have the host hear that it is the reader; return it."""
-        self.hold_lease()
+        """Let the host learn that it is the zone reader; return it."""
+        self.claim_zone()
         self.driver.change(ZoneReader("north", "host-1", OWN, 2))
         return self
 
 
 def test_waits_and_claims_a_zone_without_a_reader():
-    candidate = Candidate().hold_lease()
+    candidate = Candidate().claim_zone()
     assert candidate.next_call() is None
 
 
@@ -85,10 +85,10 @@
     assert isinstance(candidate.next_call(), GrantLease)
 
 
-def test_host_without_the_store_claims_nothing():
-    """It could hand on nothing, and would keep others from it."""
+def test_host_that_cannot_read_the_store_claims_nothing():
+    """It could serve no changes, and would keep other hosts from doing so."""
     candidate = Candidate()
-    candidate.driver.lose_store()
+    candidate.driver.fail_call()
     candidate.driver.now += 10 * DELAY
     assert candidate.next_call() is None
 
@@ -103,19 +103,19 @@
     assert 2 * RENEWAL_FRACTION * LEASE_SECONDS + 0.5 < LEASE_SECONDS
 
 
-def test_reader_that_cannot_read_lets_its_lease_end():
-    """The store serves its renewals but not its reads; the zone waits for news."""
+def test_zone_reader_that_cannot_read_lets_its_lease_expire():
+    """The store accepts its renewals but not its reads, so its zone gets no changes."""
     candidate = Candidate().register()
-    candidate.driver.lose_store()
+    candidate.driver.fail_call()
     candidate.driver.now += RENEWAL_FRACTION * LEASE_SECONDS
     assert candidate.next_call() is None
 
 
 def test_lost_claim_is_not_repeated_under_an_ended_lease():
-    """The answer to a claim is lost, and the claim may still be carried out later.
+    """The answer to a claim is lost, and the claim may be carried out later.
 
-    Under a lease that has ended it can no longer take effect; the host asks for a
-    new lease and claims again.
+    After its lease has ended it can no longer take effect; the host requests a new
+    lease and claims again.
     """
     candidate = Candidate()
     candidate.next_call()
@@ -127,7 +127,7 @@
     assert isinstance(candidate.next_call(), GrantLease)
 
 
-def test_host_that_was_second_claims_nothing_more():
+def test_host_whose_claim_was_second_claims_no_more():
     candidate = Candidate()
     candidate.next_call()
     candidate.driver.now += DELAY
@@ -145,24 +145,24 @@
     assert candidate.next_call() is None
 
 
-def test_leaving_reader_gives_its_lease_up_once():
+def test_leaving_reader_ends_its_lease_once():
     candidate = Candidate().register()
     candidate.core.leave(candidate.driver.now + 5.0, candidate.driver.now)
     assert candidate.next_call() == EndLease(7)
     assert candidate.next_call() is None
 
 
-def test_leaving_host_without_a_lease_asks_for_nothing():
+def test_leaving_host_without_a_lease_makes_no_call():
     candidate = Candidate()
     candidate.core.leave(candidate.driver.now + 5.0, candidate.driver.now)
     candidate.driver.now += 10 * DELAY
     assert candidate.next_call() is None
 
 
-def test_restarted_reader_does_not_renew_what_it_no_longer_holds():
-    """A reader is killed and starts again under its name, before its lease ends.
+def test_restarted_reader_does_not_renew_its_old_lease():
+    """A zone reader crashes and restarts under its id before its lease ends.
 
-    It asks for a lease of its own, and renews none before it is registered under that.
+    It requests a lease of its own, and renews none before it is registered under that.
     """
     candidate = Candidate()
     candidate.driver.change(ZoneReader("north", "host-1", OWN, 2))
@@ -193,25 +193,25 @@
     assert candidate.core.next_election_deadline() > candidate.driver.now
 
 
-def test_host_never_waits_for_a_call_that_it_does_not_make():
-    """A host was second with its claim, or its reader of the store fails.
+def test_deadline_is_never_past_without_a_call():
+    """A host was second with its claim, or its calls to the store fail.
 
-    Its next call was due in the past, and none was made: the process turned without
-    sleep until its lease had ended, and took a fifth of a core from its callers.
+    Its next call was due in the past but not made: the event loop ran without sleeping
+    until the lease had ended, and took a fifth of a core from its callers.
     """
     second, failing = Candidate(), Candidate().register()
     second.next_call()
     second.driver.now += DELAY
     second.answer(second.next_call(), LeaseGranted(7, LEASE_SECONDS))
     second.driver.change(OTHER)
-    failing.driver.lose_store()
+    failing.driver.fail_call()
     for candidate in (second, failing):
         candidate.driver.now += RENEWAL_FRACTION * LEASE_SECONDS + 0.1
         assert candidate.next_call() is None
         assert candidate.core.next_election_deadline() > candidate.driver.now
 
 
-def test_leaving_reader_is_not_kept_from_giving_its_lease_up():
+def test_leaving_reader_ends_its_lease_immediately():
     candidate = Candidate().register()
     candidate.core.leave(candidate.driver.now + 5.0, candidate.driver.now)
     assert candidate.core.next_election_deadline() <= candidate.driver.now
@@ -219,16 +219,16 @@
     assert candidate.core.next_election_deadline() > candidate.driver.now
 
 
-class TestReturn:
-    """The reader of a zone is killed and starts again before its lease has ended."""
+class TestRestartedReader:
+    """A zone reader crashes and restarts before its lease has ended."""
 
-    def test_takes_its_zone_up_again_at_once(self):
-        """All hosts of its zone read the store, twice each, for want of a reader.
+    def test_claims_its_zone_again_at_once(self):
+        """All hosts of a zone without a reader read the store, twice each.
 
-        All hosts lost power for a second. Each read the list, and found the zone's
-        reader registered; that host had started again too, and knew of no lease. Four
-        seconds after its last renewal the entry went, 195 hosts watched the store for
-        who would be next, and each was told of every zone: 451 of 701 calls.
+        All hosts lost power for a second. Each listed the store and found the zone
+        reader registered; that host had restarted too and knew of no lease. Four
+        seconds after its last renewal the entry expired, 195 hosts watched the store
+        for its successor, and each was told of every zone: 451 of 701 calls.
         """
         candidate = Candidate()
         candidate.driver.change(ZoneReader("north", "host-1", OWN, 2))
@@ -242,7 +242,7 @@
         candidate.driver.now += RENEWAL_FRACTION * LEASE_SECONDS
         assert candidate.next_call() == RenewLease(8)
 
-    def test_leaves_the_zone_to_another_who_came_first(self):
+    def test_leaves_the_zone_to_a_host_that_was_first(self):
         candidate = Candidate()
         candidate.driver.change(ZoneReader("north", "host-1", OWN, 2))
         candidate.answer(candidate.next_call(), LeaseGranted(8, LEASE_SECONDS))
@@ -251,15 +251,15 @@
         candidate.driver.now += LEASE_SECONDS
         assert candidate.next_call() is None
 
-    def test_does_not_while_the_store_is_away(self):
+    def test_claims_nothing_while_the_store_is_unreachable(self):
         candidate = Candidate()
         candidate.driver.change(ZoneReader("north", "host-1", OWN, 2))
-        candidate.driver.lose_store()
+        candidate.driver.fail_call()
         assert candidate.next_call() is None
 
 
 def restore(driver, *entries):
-    """Have the host read a store that has come back from an older copy."""
+    """Let the host read a store that was restored from a backup."""
     driver.now = max(driver.now, driver.tables.reader.call_at)
     driver.call = driver.core.next_call(driver.now)
     driver.answer(HistoryLost(epoch=1))
@@ -267,10 +267,10 @@
     driver.list_store(make_configuration(), *entries, revision=revision)
 
 
-def test_lease_that_the_store_lost_is_not_ended_for_its_new_holder():
-    """A store comes back from before a host's lease, and gives its number to another.
+def test_lease_lost_in_a_restore_is_not_ended():
+    """A store is restored to a state before a host's lease, and reissues its number.
 
-    The host leaves and ends that number: the other's zone is without a reader.
+    When the host leaves, it ends that number: the new holder's zone loses its reader.
     """
     candidate = Candidate().register()
     restore(candidate.driver)
@@ -278,7 +278,7 @@
     assert candidate.next_call() is None
 
 
-def test_reader_that_the_store_lost_claims_its_zone_anew():
+def test_reader_lost_in_a_restore_claims_its_zone_again():
     candidate = Candidate().register()
     restore(candidate.driver)
     candidate.next_call()
@@ -289,7 +289,7 @@
     assert candidate.next_call() == ClaimZone(8, "north", "host-1", OWN)
 
 
-def test_reader_that_is_in_the_copy_keeps_its_lease():
+def test_reader_that_the_restored_store_holds_keeps_its_lease():
     candidate = Candidate().register()
     reader = ZoneReader("north", "host-1", OWN, ordered_revision(1, 2))
     restore(candidate.driver, reader)
--- a/tests/test_tokens/test_evidence.py
+++ b/tests/test_tokens/test_evidence.py
@@ -1,4 +1,4 @@
-"""What counts as a sign that a target is lost, and what follows."""
+"""Tests of failure detection: evidence against targets, and its effects."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 from tests.test_tokens.driver import ORDERS, Driver, make_target, reason_of
 
 
-def repeat_two_requests(driver):
-    """Have two flows send their requests again in vain; return a third, idle one."""
+def retransmit_two_requests(driver):
+    """Let two flows retransmit their requests; return a third, idle one."""
     callers = [driver.caller(port) for port in range(3)]
     for caller in callers:
         caller.connect()
     for caller in callers[:2]:
-        caller.ask()
-    driver.prove_path()
+        caller.send_request()
+    driver.answer_control_openings()
     driver.now += 0.2
     for caller in callers[:2]:
-        caller.ask_again()
+        caller.retransmit()
     driver.now += 0.06
     return callers[2]
 
 
 class TestReordering:
-    def test_overtaken_bytes_are_no_repetition(self):
-        """An upload's packets overtake each other on the way to the host.
+    def test_reordered_bytes_are_no_retransmission(self):
+        """Packets of an upload arrive at the host out of order.
 
-        The caller sends sixteen packets at once; they arrive out of order within
-        milliseconds. Taken for repetitions, each large upload would count as
-        silence of its target, and flows of targets that are well would be reset.
+        The caller sends sixteen packets at once, and they are reordered within
+        milliseconds. Taken for retransmissions, each large upload would count as a
+        time-out of its target, and flows of healthy targets would be reset.
         """
         driver = Driver(make_target(1))
         caller = driver.caller(1, ORDERS)
@@ -38,100 +38,100 @@
         assert row.timeouts == 0
         assert driver.tables.flows[caller.flow].retransmissions == 0
 
-    def test_bytes_sent_again_after_the_timeout_are(self):
+    def test_bytes_sent_again_after_the_timeout_are_a_retransmission(self):
         driver = Driver(make_target(1))
         caller = driver.caller(1)
         row = caller.connect()
-        caller.ask()
+        caller.send_request()
         driver.now += 0.2
-        caller.ask_again()
+        caller.retransmit()
         assert row.timeouts == 1
 
 
 class TestReset:
     def test_one_lost_request_resets_nothing(self):
-        """A datagram is lost; the caller sends its request again after 200 ms.
+        """A datagram is lost; the caller retransmits its request after 200 ms.
 
-        The target lives and would answer. A reset would break its flow for good,
-        so one repetition alone is not enough.
+        The target is healthy and would answer. A reset would break its flow, so a
+        single retransmission is not enough.
         """
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
         caller.connect()
-        caller.ask()
-        driver.prove_path()
+        caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
-        assert isinstance(caller.ask_again(), Forward)
+        assert isinstance(caller.retransmit(), Forward)
 
     def test_slow_target_is_not_reset(self):
-        """A target works for a second on each request and acknowledges at once.
+        """A target takes a second per request, but acknowledges immediately.
 
-        The caller waits and sends nothing again, so nothing counts against it.
+        The caller does not retransmit, so nothing counts against the target.
         """
         driver = Driver(make_target(1))
         caller = driver.caller(1)
         row = caller.connect()
-        caller.ask()
+        caller.send_request()
         driver.wait(1.0)
-        assert isinstance(caller.take_response(), Forward)
+        assert isinstance(caller.acknowledge_answer(), Forward)
         assert row.timeouts == 0
 
-    def test_copies_of_one_request_are_one_witness(self):
-        """Two copies of a preview's request are lost in a burst, then one arrives.
+    def test_retransmissions_of_one_request_count_once(self):
+        """Two copies of a request are lost in a burst, and the third arrives.
 
-        The target is well and answers the third copy. Counted apart, the first two
-        would have reset a flow that goes on.
+        The target is healthy and answers it. If each copy counted, the first two would
+        have reset a flow that goes on.
         """
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
         caller.connect()
-        caller.ask()
-        driver.prove_path()
+        caller.send_request()
+        driver.answer_control_openings()
         for pause in (0.2, 0.4, 0.8):
             driver.now += pause
-            assert isinstance(caller.ask_again(), Forward)
+            assert isinstance(caller.retransmit(), Forward)
 
-    def test_repetition_and_the_silence_of_another_flow_reset(self):
-        """A target has crashed under two previews; both callers send in vain.
+    def test_retransmissions_of_two_flows_reset(self):
+        """A target has crashed with two open previews, and both callers retransmit.
 
-        With a second flow that got no answer, one repetition is enough. The caller
-        tries again at once instead of waiting until its deadline.
+        With a second flow without an answer, one retransmission is enough. The caller
+        can retry immediately instead of waiting for its deadline.
         """
         driver = Driver(make_target(1))
         first, second = driver.caller(1), driver.caller(2)
         for caller in (first, second):
             caller.connect()
-            caller.ask()
-        driver.prove_path()
+            caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
-        assert isinstance(first.ask_again(), Forward)
+        assert isinstance(first.retransmit(), Forward)
         driver.now += 0.06
-        assert reason_of(second.ask_again()) is ResetReason.TARGET_UNREACHABLE
+        assert reason_of(second.retransmit()) is ResetReason.TARGET_UNREACHABLE
         driver.now += 0.4
-        assert reason_of(first.ask_again()) is ResetReason.TARGET_UNREACHABLE
+        assert reason_of(first.retransmit()) is ResetReason.TARGET_UNREACHABLE
 
-    def test_requests_lost_at_one_moment_are_no_evidence_yet(self):
+    def test_requests_lost_at_the_same_moment_are_no_evidence_yet(self):
         """A burst fills the host's link for 20 ms; two requests to a target are lost.
 
-        Their callers send copies 200 ms later, a moment apart. The target, which
-        lives, has had no time to answer the first.
+        Their callers retransmit 200 ms later, almost at the same time. The target is
+        healthy but has had no time to answer the first retransmission.
         """
         driver = Driver(make_target(1))
         first, second = driver.caller(1), driver.caller(2)
         for caller in (first, second):
             caller.connect()
-            caller.ask()
-        driver.prove_path()
+            caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
-        assert isinstance(first.ask_again(), Forward)
+        assert isinstance(first.retransmit(), Forward)
         driver.now += 0.02
-        assert isinstance(second.ask_again(), Forward)
+        assert isinstance(second.retransmit(), Forward)
 
-    def test_openings_are_no_witnesses(self):
-        """Callers give up while their openings are under way; a datagram is lost.
+    def test_unanswered_openings_are_no_evidence(self):
+        """Callers give up while their openings are in flight, and one datagram is lost.
 
-        A target seems to have left the openings unanswered. Counted as witnesses,
-        they would have the flow reset whose request was sent again once.
+        The target seems to have left the openings unanswered. If they counted, the flow
+        whose request was retransmitted once would be reset.
         """
         driver = Driver(make_target(1))
         caller = driver.caller(1)
@@ -139,50 +139,51 @@
         for port in range(2, 6):
             driver.caller(port).open()
         driver.wait(0.031)
-        caller.ask()
-        driver.prove_path()
+        caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
-        assert isinstance(caller.ask_again(), Forward)
+        assert isinstance(caller.retransmit(), Forward)
 
-    def test_silence_of_another_flow_long_ago_is_no_evidence(self):
+    def test_old_retransmission_of_another_flow_is_no_evidence(self):
         driver = Driver(make_target(1))
         first, second = driver.caller(1), driver.caller(2)
         for caller in (first, second):
             caller.connect()
-        first.ask()
+        first.send_request()
         driver.now += 0.2
-        first.ask_again()
+        first.retransmit()
         driver.now += 1.1
-        second.ask()
-        driver.prove_path()
+        second.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
-        assert isinstance(second.ask_again(), Forward)
+        assert isinstance(second.retransmit(), Forward)
 
-    def test_lost_target_resets_new_requests_of_its_other_flows_at_once(self):
-        """Another zone is cut off, with a dozen previews open to one target there.
+    def test_unreachable_target_resets_requests_of_its_other_flows(self):
+        """Another zone is partitioned, with a dozen previews open to one target there.
 
-        Two of them send again in vain. The next request of a third is reset at once
-        and served elsewhere in time; waiting for its own repetition makes it late.
+        Two of them have retransmitted. The next request of a third is reset immediately
+        and served elsewhere in time; waiting for its own retransmission would make it
+        late.
         """
         driver = Driver(make_target(1))
-        third = repeat_two_requests(driver)
-        assert reason_of(third.ask()) is ResetReason.TARGET_UNREACHABLE
+        third = retransmit_two_requests(driver)
+        assert reason_of(third.send_request()) is ResetReason.TARGET_UNREACHABLE
 
-    def test_belief_that_a_target_is_lost_needs_new_evidence(self):
-        """The cut has healed, and nobody has sent to the target since.
+    def test_evidence_against_a_target_expires(self):
+        """The partition is over, and nothing was sent to the target since.
 
-        After a second its flows are tried again: the target would answer.
+        After a second its flows are tried again, since the target would answer.
         """
         driver = Driver(make_target(1))
-        third = repeat_two_requests(driver)
+        third = retransmit_two_requests(driver)
         driver.now += 1.1
-        assert isinstance(third.ask(), Forward)
+        assert isinstance(third.send_request(), Forward)
 
-    def test_full_target_keeps_its_flows(self):
-        """Two targets have crashed; the others are overrun by their callers.
+    def test_overloaded_target_keeps_its_flows(self):
+        """Two targets have crashed, and the others are overloaded.
 
-        A full target leaves openings unanswered while its open flows go on. Taken
-        for out of reach, those flows would be reset under the worst load.
+        An overloaded target leaves openings unanswered while its open flows go on. If
+        it counted as unreachable, those flows would be reset under the highest load.
         """
         driver = Driver(make_target(1))
         open_flow = driver.caller(1)
@@ -190,41 +191,41 @@
         for port in range(2, 6):
             driver.caller(port).open()
             driver.wait(0.1)
-        driver.prove_path()
-        assert isinstance(open_flow.ask(), Forward)
+        driver.answer_control_openings()
+        assert isinstance(open_flow.send_request(), Forward)
 
     def test_order_is_never_reset(self):
-        """A standing order has reached a target that no longer answers.
+        """An order was sent to a target that no longer answers.
 
-        It may have run. A reset would leave the caller without an answer that
-        could still come, and tell it nothing.
+        It may have run. A reset would end the flow before a late answer, and would not
+        tell the caller whether it has run.
         """
         driver = Driver(make_target(1))
         caller = driver.caller(1, ORDERS)
         caller.connect()
-        caller.ask()
-        driver.prove_path()
+        caller.send_request()
+        driver.answer_control_openings()
         for pause in (0.2, 0.4, 0.8):
             driver.now += pause
-            assert isinstance(caller.ask_again(), Forward)
+            assert isinstance(caller.retransmit(), Forward)
 
-    def test_answer_between_clears_the_silence(self):
-        """Two datagrams are lost, with an answer between them: no reset."""
+    def test_answer_in_between_clears_the_timeout(self):
+        """Two datagrams are lost, with an answer in between: no reset."""
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
         caller.connect()
         for _ in range(2):
-            caller.ask()
-            driver.prove_path()
+            caller.send_request()
+            driver.answer_control_openings()
             driver.now += 0.2
-            assert isinstance(caller.ask_again(), Forward)
+            assert isinstance(caller.retransmit(), Forward)
             driver.now += 0.05
-            caller.take_response()
+            caller.acknowledge_answer()
 
-    def test_reset_after_the_entry_is_gone_for_good(self):
-        """A target's entry has left the store, and the store has answered since.
+    def test_reset_after_the_removal_is_final(self):
+        """A target's entry was removed, and the store has answered since.
 
-        The target is gone: an idempotent request to it is reset at once.
+        The target is gone, so an idempotent request to it is reset immediately.
         """
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
@@ -232,12 +233,12 @@
         driver.remove(row.target.incarnation)
         driver.wait(2.6)
         driver.change()
-        assert reason_of(caller.ask()) is ResetReason.TARGET_GONE
+        assert reason_of(caller.send_request()) is ResetReason.TARGET_GONE
 
-    def test_no_reset_while_the_entry_may_come_back(self):
-        """The store forgot entries during an outage; the targets register anew.
+    def test_no_reset_while_the_entry_may_return(self):
+        """The store dropped entries during an outage, and the targets register again.
 
-        For two seconds a missing entry tells nothing, so the flow goes on.
+        For two seconds a missing entry is no evidence, so the flow goes on.
         """
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
@@ -245,20 +246,20 @@
         driver.remove(row.target.incarnation)
         driver.wait(1.9)
         driver.change()
-        assert isinstance(caller.ask(), Forward)
+        assert isinstance(caller.send_request(), Forward)
 
 
-class TestSilence:
-    def test_target_that_stays_silent_does_not_end_the_process(self):
-        """Orders to a lost target are sent again and again, by many callers.
+class TestTimeouts:
+    def test_unresponsive_target_does_not_crash_the_process(self):
+        """Many callers retransmit orders to an unreachable target again and again.
 
-        None is reset, so silences add up. An avoidance that doubled without end
-        would overflow at a thousand, and the host would end for one lost target.
+        None is reset, so time-outs add up. An avoidance that doubles without limit
+        would overflow at a thousand time-outs and crash the host.
         """
         driver = Driver(make_target(1))
         caller = driver.caller(1, ORDERS)
         caller.connect()
-        caller.ask()
+        caller.send_request()
         for _ in range(3000):
             driver.now += 0.2
-            assert isinstance(caller.ask_again(), Forward)
+            assert isinstance(caller.retransmit(), Forward)
--- a/tests/test_tokens/test_zones.py
+++ b/tests/test_tokens/test_zones.py
@@ -1,4 +1,4 @@
-"""What counts as a sign that the way to a whole zone is lost, and what follows."""
+"""Tests of zone failures: evidence that a zone is partitioned, and its effects."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from tests.test_tokens.driver import Driver, make_target, reason_of, target_of
 
 
-def silent_opening(driver, port):
+def unanswered_opening(driver, port):
     """Open a flow that targets of zone north answer and others do not."""
     caller = driver.caller(port)
     first = caller.open()
     actions = [first]
     for _ in range(3):
         if actions and actions[-1].target.target.zone == "north":
-            caller.handle_store_answer(actions[-1].target)
+            caller.finish_handshake(actions[-1].target)
             break
         actions += driver.wait(0.031)
     return target_of(first)
 
 
 class TestResetIntoZone:
-    def test_flow_into_a_cut_zone_is_reset_after_one_repetition(self):
-        """Another zone is cut off; a host has one preview to each of its targets.
+    def test_flow_into_a_partitioned_zone_is_reset_after_one_retransmission(self):
+        """Another zone is partitioned; a host has one preview to each of its targets.
 
-        No target has a second flow as a witness. Three silent targets of the zone,
-        with no answer from it since, are evidence for each of them.
+        No target has a second flow as evidence. Three unresponsive targets of the zone,
+        without an answer from it since, are evidence for each of them.
         """
         driver = Driver(*(make_target(number, "south") for number in (1, 2, 3)))
         callers = [driver.caller(port) for port in range(3)]
@@ -33,19 +33,20 @@
         assert len(rows) == 3
         driver.now += 0.05
         for caller in callers:
-            caller.ask()
-        driver.prove_path()
+            caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
-        assert isinstance(callers[0].ask_again(), Forward)
-        assert isinstance(callers[1].ask_again(), Forward)
+        assert isinstance(callers[0].retransmit(), Forward)
+        assert isinstance(callers[1].retransmit(), Forward)
         driver.now += 0.06
-        assert reason_of(callers[2].ask_again()) is ResetReason.TARGET_UNREACHABLE
+        assert reason_of(callers[2].retransmit()) is ResetReason.TARGET_UNREACHABLE
 
-    def test_zone_whose_copies_have_had_no_time_is_not_lost_yet(self):
-        """A burst fills the host's link for 20 ms; what goes to one zone is lost.
+    def test_zone_without_time_to_answer_is_not_unreachable_yet(self):
+        """A burst saturates the host's link for 20 ms; packets to one zone are lost.
 
-        Copies follow 200 ms later, all at once too. The zone's targets live, and have
-        had no time to answer them; a reset would break a flow that goes on.
+        Their retransmissions follow 200 ms later, all at once as well. The zone's
+        targets are healthy but have had no time to answer; a reset would break a flow
+        that goes on.
         """
         driver = Driver(*(make_target(number, "south") for number in (1, 2, 3)))
         callers = [driver.caller(port) for port in range(3)]
@@ -53,30 +54,32 @@
             caller.connect()
         driver.now += 0.05
         for caller in callers:
-            caller.ask()
-        driver.prove_path()
+            caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
         for caller in callers:
-            assert isinstance(caller.ask_again(), Forward)
+            assert isinstance(caller.retransmit(), Forward)
 
-    def test_lone_flow_into_a_cut_zone_is_reset_after_two_copies(self):
-        """Another zone is cut off; a host has a single preview to it.
+    def test_single_flow_into_a_partitioned_zone_is_reset_after_two_retransmissions(
+        self,
+    ):
+        """Another zone is partitioned; a host has a single preview to it.
 
-        Nobody else speaks to that zone. After the second copy, 0.6 s after the
-        request, the caller is told to try elsewhere; it would wait until its deadline.
+        No other flow goes to that zone. After the second retransmission, 0.6 s after
+        the request, the flow is reset, and the caller need not wait until its deadline.
         """
         driver = Driver(make_target(1, "south"))
         caller = driver.caller(1)
         caller.connect()
         driver.now += 0.05
-        caller.ask()
-        driver.prove_path()
+        caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
-        assert isinstance(caller.ask_again(), Forward)
+        assert isinstance(caller.retransmit(), Forward)
         driver.now += 0.4
-        assert reason_of(caller.ask_again()) is ResetReason.TARGET_UNREACHABLE
+        assert reason_of(caller.retransmit()) is ResetReason.TARGET_UNREACHABLE
 
-    def test_two_copies_are_no_evidence_while_the_zone_answers(self):
+    def test_two_retransmissions_are_no_evidence_while_the_zone_answers(self):
         """Two copies of a request are lost; another target of the zone answers."""
         driver = Driver(*(make_target(number, "south") for number in (1, 2)))
         callers = [driver.caller(port) for port in range(2)]
@@ -84,52 +87,52 @@
             caller.connect()
         driver.now += 0.05
         for caller in callers:
-            caller.ask()
-        driver.prove_path()
+            caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.1
-        callers[1].take_response()
+        callers[1].acknowledge_answer()
         for pause in (0.1, 0.4, 0.8):
             driver.now += pause
-            assert isinstance(callers[0].ask_again(), Forward)
+            assert isinstance(callers[0].retransmit(), Forward)
 
-    def test_answer_from_the_zone_keeps_the_flows_of_its_silent_targets(self):
-        """Three targets of another zone are silent for a moment; a fourth answers."""
+    def test_answer_from_the_zone_keeps_flows_of_its_unresponsive_targets(self):
+        """Three targets of another zone do not answer for a moment; a fourth does."""
         driver = Driver(*(make_target(number, "south") for number in (1, 2, 3, 4)))
         callers = [driver.caller(port) for port in range(4)]
         for caller in callers:
             caller.connect()
         driver.now += 0.05
         for caller in callers:
-            caller.ask()
-        driver.prove_path()
+            caller.send_request()
+        driver.answer_control_openings()
         driver.now += 0.2
-        callers[0].ask_again()
-        callers[1].ask_again()
-        callers[3].take_response()
-        assert isinstance(callers[2].ask_again(), Forward)
+        callers[0].retransmit()
+        callers[1].retransmit()
+        callers[3].acknowledge_answer()
+        assert isinstance(callers[2].retransmit(), Forward)
 
 
 class TestZones:
-    def test_one_crashed_target_does_not_condemn_its_zone(self):
-        """One target of another zone has crashed; its neighbours are well.
+    def test_one_crashed_target_does_not_make_its_zone_suspect(self):
+        """One target of another zone has crashed; the others are healthy.
 
-        Its openings go unanswered. Were the whole zone avoided, the others would
-        be overrun, and flows in it would be reset.
+        Its openings go unanswered. If the whole zone were avoided, other targets would
+        be overloaded, and flows in the zone would be reset.
         """
         driver = Driver(*(make_target(number, "south") for number in (1, 2, 3)))
         caller = driver.caller(1)
-        dead = target_of(caller.open())
+        crashed = target_of(caller.open())
         (second,) = driver.wait(0.031)
-        caller.handle_store_answer(second.target)
+        caller.finish_handshake(second.target)
         others = {target_of(driver.caller(port).open()) for port in range(2, 6)}
-        assert dead not in others
+        assert crashed not in others
         assert driver.tables.zones["south"].suspect_until <= driver.now
 
-    def test_silence_of_two_targets_makes_the_way_suspect(self):
-        """Another zone is cut off: openings to two of its targets go unanswered.
+    def test_timeouts_of_two_targets_make_the_zone_suspect(self):
+        """Another zone is partitioned: openings to two of its targets go unanswered.
 
-        New flows then go to targets in reach at once, without trying each of the
-        zone's targets first.
+        New flows then go to reachable targets immediately, without trying each target
+        of the zone first.
         """
         driver = Driver(
             make_target(1, "south"),
@@ -138,15 +141,15 @@
             make_target(4, "north"),
         )
         count_load(driver.tables.targets["i-4"], flows=1000)
-        silent_opening(driver, 1)
-        silent_opening(driver, 2)
+        unanswered_opening(driver, 1)
+        unanswered_opening(driver, 2)
         assert target_of(driver.caller(3).open()) == "i-4"
 
-    def test_answer_from_the_zone_clears_it(self):
-        """The cut has healed: one answer from the zone ends the suspicion."""
+    def test_answer_from_the_zone_ends_the_suspicion(self):
+        """The partition is over: one answer from the zone ends the suspicion."""
         driver = Driver(*(make_target(number, "south") for number in (1, 2, 3)))
-        silent_opening(driver, 1)
-        silent_opening(driver, 2)
+        unanswered_opening(driver, 1)
+        unanswered_opening(driver, 2)
         assert driver.tables.zones["south"].suspect_until > driver.now
         driver.caller(3).connect()
         assert driver.tables.zones["south"].suspect_until == 0.0
