--- a/citronspring/cli/emulate.py
+++ b/citronspring/cli/emulate.py
@@ -8,7 +8,7 @@
 from citronspring.cli.commands import Command, NumberFlag, TextFlag
 from citronspring.cli.exit_codes import UsageError
 from citronspring.emulator.report import render_report
-from citronspring.emulator.run import play
+from citronspring.emulator.run import run_seed
 from citronspring.emulator.world import Sizes
 
 if TYPE_CHECKING:
@@ -26,12 +26,12 @@
     sizes = Sizes(hosts_per_zone=values["hosts"])
     outcomes = []
     for seed in range(values["first"], values["first"] + values["seeds"]):
-        outcomes.append(play(seed, sizes))
+        outcomes.append(run_seed(seed, sizes))
         print(outcome_line(outcomes[-1]))
     if values["report"]:
         Path(values["report"]).write_text(render_report(outcomes), encoding="utf-8")
         print(f"report: {values['report']}")
-    broken = sum(bool(outcome.broken) for outcome in outcomes)
+    broken = sum(bool(outcome.violations) for outcome in outcomes)
     print(f"{len(outcomes)} seeds, {broken} with a broken promise")
     return 1 if broken else 0
 
@@ -43,7 +43,7 @@
         f"{outcome.in_time} in time, {outcome.store_calls} calls to the store; "
         f"{outcome.faults_text or 'no fault'}"
     )
-    return "\n".join((line, *(f"  broken: {text}" for text in outcome.broken)))
+    return "\n".join((line, *(f"  broken: {text}" for text in outcome.violations)))
 
 
 COMMANDS = (
--- a/citronspring/cli/experiment.py
+++ b/citronspring/cli/experiment.py
@@ -24,7 +24,7 @@
     seeds = sorted({*KEPT_SEEDS, *range(first, first + count)})
     campaign = run_seeds(seeds, print_violations)
     print_campaign(campaign)
-    return 1 if campaign.broken else 0
+    return 1 if campaign.failed else 0
 
 
 def print_violations(result: SeedResult) -> None:
@@ -43,7 +43,7 @@
         print(f"{name:24}  {count:>8}")
     print(f"{'pairs of faults met':24}  {len(campaign.pairs()):>8}")
     print(f"{'seeds run':24}  {len(campaign.results):>8}")
-    print(f"{'seeds that broke a promise':24}  {len(campaign.broken):>6}")
+    print(f"{'seeds that broke a promise':24}  {len(campaign.failed):>6}")
 
 
 COMMANDS = (
--- a/citronspring/emulator/downloads.py
+++ b/citronspring/emulator/answer_sizes.py
@@ -19,10 +19,10 @@
 ENTRY_BYTES = 150
 
 #: Bytes of an answer beside its entries.
-HEAD_BYTES = 200
+HEADER_BYTES = 200
 
 
-def bytes_of(answer: StoreAnswer) -> int:
+def answer_bytes(answer: StoreAnswer) -> int:
     """Return how large an answer of the store is on the wire."""
     match answer:
         case Page():
@@ -31,7 +31,7 @@
             entries = answer.changes
         case _:
             entries = ()
-    return HEAD_BYTES + sum(entry_bytes(entry) for entry in entries)
+    return HEADER_BYTES + sum(entry_bytes(entry) for entry in entries)
 
 
 def entry_bytes(entry: object) -> int:
--- a/citronspring/emulator/callers.py
+++ b/citronspring/emulator/callers.py
@@ -15,21 +15,21 @@
     from citronspring.emulator.targets import Reply
 
 #: Seconds after an opening at which a caller sends it again, and gives up.
-OPENING_COPIES = (0.2, 0.6)
-OPENING_LIMIT = 1.4
+OPENING_RETRANSMIT_TIMES = (0.2, 0.6)
+OPENING_TIMEOUT = 1.4
 
 #: Seconds until unacknowledged bytes are sent again; doubled each time.
-RESEND_SECONDS = 0.2
-LONGEST_RESEND = 1.6
+RETRANSMIT_SECONDS = 0.2
+MAX_RETRANSMIT_SECONDS = 1.6
 
 #: Further tries of a request.
-RETRIES = 2
+MAX_RETRIES = 2
 
 #: Bytes of every request.
 REQUEST_BYTES = 200
 
 #: Seconds between two requests of a stream.
-PAUSE = 0.5
+MEAN_REQUEST_GAP = 0.5
 
 SEQ_MASK = 0xFFFFFFFF
 
@@ -42,7 +42,7 @@
     started_at: float
     idempotent: bool
     deadline: float
-    tries: int = 0
+    attempts: int = 0
     runs: int = 0
     answered_at: float | None = None
     failed: bool = False
@@ -60,7 +60,7 @@
     idempotent: bool
     deadline_seconds: float
     #: Requests still to be sent over this flow.
-    left: int
+    requests_left: int
     port: int
     state: str = "closed"
     seq: int = 0
@@ -73,8 +73,8 @@
 
     def start(self, request: Request | None = None) -> None:
         """Open a flow for a request."""
-        self.request = request or self.next_request()
-        self.request.tries += 1
+        self.request = request or self.create_request()
+        self.request.attempts += 1
         self.state = "opening"
         self.seq = self.clock.rng.getrandbits(32)
         self.token = self.ack = 0
@@ -82,15 +82,15 @@
         key = self.route.to_bytes(6, "big") + self.port.to_bytes(8, "big")
         self.flow = key
         self.send(SYN)
-        for seconds in OPENING_COPIES:
-            self.clock.after(seconds, lambda f=key: self.copy_opening(f))
-        self.clock.after(OPENING_LIMIT, lambda f=key: self.give_up_opening(f))
+        for seconds in OPENING_RETRANSMIT_TIMES:
+            self.clock.after(seconds, lambda f=key: self.retransmit_opening(f))
+        self.clock.after(OPENING_TIMEOUT, lambda f=key: self.time_out_opening(f))
         request_now = self.request
-        self.clock.at(request_now.deadline, lambda: self.pass_deadline(request_now))
+        self.clock.at(request_now.deadline, lambda: self.expire_request(request_now))
 
-    def next_request(self) -> Request:
+    def create_request(self) -> Request:
         """Make the next request of this caller."""
-        self.left -= 1
+        self.requests_left -= 1
         now = self.clock.now
         return self.checker.new_request(
             now, self.idempotent, now + self.deadline_seconds
@@ -102,40 +102,40 @@
         packet = Packet(self.flow, self.route, flags, self.token, seq, self.ack, length)
         self.routers.forward(self.zone, packet, self)
 
-    def copy_opening(self, flow: bytes) -> None:
+    def retransmit_opening(self, flow: bytes) -> None:
         """Send the opening again if it is not answered."""
         if self.flow == flow and self.state == "opening":
             self.send(SYN)
 
-    def give_up_opening(self, flow: bytes) -> None:
+    def time_out_opening(self, flow: bytes) -> None:
         """End an attempt whose opening was never answered; nothing has run."""
         if self.flow == flow and self.state == "opening":
-            self.end_try(may_have_run=False)
+            self.end_attempt(may_have_run=False)
 
-    def pass_deadline(self, request: Request) -> None:
+    def expire_request(self, request: Request) -> None:
         """Give a request up at its deadline."""
         if self.request is request and request.answered_at is None:
             request.failed = True
-            self.stop()
+            self.close_flow()
 
     def receive(self, reply: Reply) -> None:
         """Take a packet of a target, or a reset."""
         if self.state == "closed" or reply.flow != self.flow:
             return
         if reply.flags & RST:
-            self.take_reset(reply)
+            self.handle_reset(reply)
         elif reply.flags & SYN:
-            self.take_opening_answer(reply)
+            self.handle_opening_answer(reply)
         elif self.state == "open":
-            self.take_bytes(reply)
+            self.handle_data(reply)
 
-    def take_reset(self, reply: Reply) -> None:
+    def handle_reset(self, reply: Reply) -> None:
         """End the try that was reset."""
         opening = self.state == "opening"
         self.checker.caller_reset(self, reply)
-        self.end_try(may_have_run=not opening)
+        self.end_attempt(may_have_run=not opening)
 
-    def take_opening_answer(self, reply: Reply) -> None:
+    def handle_opening_answer(self, reply: Reply) -> None:
         """Confirm the first answer to the opening; any answer changes the token."""
         if reply.ack != (self.seq + 1 & SEQ_MASK) and self.state == "opening":
             return
@@ -157,18 +157,18 @@
         self.send(ACK, REQUEST_BYTES, start)
         flow = self.flow
         self.clock.after(
-            RESEND_SECONDS, lambda: self.resend(flow, start, RESEND_SECONDS)
+            RETRANSMIT_SECONDS, lambda: self.retransmit(flow, start, RETRANSMIT_SECONDS)
         )
 
-    def resend(self, flow: bytes, start: int, waited: float) -> None:
+    def retransmit(self, flow: bytes, start: int, waited: float) -> None:
         """Send bytes again that nothing has acknowledged."""
         if self.flow != flow or self.state != "open" or self.unacknowledged != start:
             return
         self.send(ACK, REQUEST_BYTES, start)
-        wait = min(2 * waited, LONGEST_RESEND)
-        self.clock.after(wait, lambda: self.resend(flow, start, wait))
+        wait = min(2 * waited, MAX_RETRANSMIT_SECONDS)
+        self.clock.after(wait, lambda: self.retransmit(flow, start, wait))
 
-    def take_bytes(self, reply: Reply) -> None:
+    def handle_data(self, reply: Reply) -> None:
         """Take an acknowledgement or an answer."""
         self.token = reply.token
         if reply.ack == self.seq:
@@ -177,7 +177,7 @@
             self.ack = self.ack + reply.length & SEQ_MASK
             if reply.shed:
                 self.send(FIN | ACK)
-                self.end_try(may_have_run=False)
+                self.end_attempt(may_have_run=False)
                 return
             self.finish_request()
         elif reply.length:
@@ -188,37 +188,40 @@
         request = self.request
         assert request is not None
         request.answered_at = self.clock.now
-        self.checker.answered(self, request)
-        if self.left <= 0:
+        self.checker.request_answered(self, request)
+        if self.requests_left <= 0:
             self.send(FIN | ACK)
-            self.stop()
+            self.close_flow()
             return
         self.send(ACK)
         flow = self.flow
-        self.clock.after(PAUSE * 2 * self.clock.rng.random(), lambda: self.go_on(flow))
+        self.clock.after(
+            MEAN_REQUEST_GAP * 2 * self.clock.rng.random(),
+            lambda: self.send_next_request(flow),
+        )
 
-    def go_on(self, flow: bytes) -> None:
+    def send_next_request(self, flow: bytes) -> None:
         """Send the next request over the open flow."""
         if self.flow != flow or self.state != "open":
             return
-        request = self.request = self.next_request()
-        request.tries = 1
-        self.clock.at(request.deadline, lambda: self.pass_deadline(request))
+        request = self.request = self.create_request()
+        request.attempts = 1
+        self.clock.at(request.deadline, lambda: self.expire_request(request))
         self.send_request()
 
-    def end_try(self, *, may_have_run: bool) -> None:
+    def end_attempt(self, *, may_have_run: bool) -> None:
         """Try again on a new flow where that is allowed."""
         request = self.request
-        self.stop()
+        self.close_flow()
         if request is None or request.answered_at is not None or request.failed:
             return
         allowed = request.idempotent or not may_have_run
-        if allowed and request.tries <= RETRIES:
+        if allowed and request.attempts <= MAX_RETRIES:
             self.start(request)
         else:
             request.failed = True
 
-    def stop(self) -> None:
+    def close_flow(self) -> None:
         """Forget the flow."""
         self.state = "closed"
         self.unacknowledged = None
--- a/citronspring/emulator/calls.py
+++ b/citronspring/emulator/calls.py
@@ -14,24 +14,24 @@
     from citronspring.tokens.messages import Action, ElectionAnswer, StoreAnswer
 
 #: Seconds between two turns of a host's process when nothing wakes it.
-TURN = 0.01
+ITERATION_INTERVAL = 0.01
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingCall:
     """A call under way; it ends once, by its answer or its deadline."""
 
     host: EmulatedHost
     boot: int
     #: Takes the answer at the end of the call.
-    take: Callable[[Any], list[Action]]
+    on_answer: Callable[[Any], list[Action]]
     ended: bool = False
     #: Whether bytes of the answer arrive; they do without a pause until its end.
-    coming_in: bool = False
+    receiving: bool = False
 
     def expire(self) -> None:
         """Give the call up unless its answer is coming in."""
-        if not self.coming_in:
+        if not self.receiving:
             self.answer(Unanswered("no answer in time"))
 
     def answer(self, answer: StoreAnswer | ElectionAnswer) -> None:
@@ -40,7 +40,7 @@
         if self.ended or self.boot != host.boot or host.core is None:
             return
         if host.frozen:
-            host.clock.after(TURN, lambda: self.answer(answer))
+            host.clock.after(ITERATION_INTERVAL, lambda: self.answer(answer))
             return
         self.ended = True
-        host.perform(self.take(answer))
+        host.perform(self.on_answer(answer))
--- a/citronspring/emulator/checker.py
+++ b/citronspring/emulator/checker.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from citronspring.emulator.callers import Request
-from citronspring.emulator.network import CALM_LOSS
-from citronspring.emulator.zones import ZoneJudge
+from citronspring.emulator.network import BASELINE_LOSS
+from citronspring.emulator.zone_checker import ZoneChecker
 from citronspring.tcp_flags import SYN
 from citronspring.tokens.messages import ResetReason
 
@@ -35,9 +35,9 @@
     """Resets of open flows by hosts."""
 
     #: Those of flows that a target in reach of the host still held.
-    false: int = 0
+    unjustified: int = 0
     #: The others: their targets had ended, or were cut off.
-    true: int = 0
+    justified: int = 0
 
 
 @dataclass(slots=True)
@@ -60,21 +60,21 @@
     #: Each accepted configuration with the time of its acceptance.
     accepted: list[tuple[float, Configuration]] = field(default_factory=list)
     #: Highest revision that each process of a host has had in force.
-    in_force: dict[tuple[str, int], int] = field(default_factory=dict)
-    broken: list[str] = field(default_factory=list)
+    highest_revisions: dict[tuple[str, int], int] = field(default_factory=dict)
+    violations: list[str] = field(default_factory=list)
     events: Counter[int] = field(default_factory=Counter)
     resets: Resets = field(default_factory=Resets)
     #: All targets by incarnation, and all zones.
     targets: dict[int, EmulatedTarget] = field(default_factory=dict)
     zones: tuple[str, ...] = ()
-    zone_judge: ZoneJudge = field(init=False)
+    zone_checker: ZoneChecker = field(init=False)
 
     def __post_init__(self) -> None:
-        self.zone_judge = ZoneJudge(self)
+        self.zone_checker = ZoneChecker(self)
 
-    def break_promise(self, promise: str, detail: str) -> None:
+    def report_violation(self, promise: str, detail: str) -> None:
         """Note a broken promise."""
-        self.broken.append(f"{self.clock.now:.3f} s {promise}: {detail}")
+        self.violations.append(f"{self.clock.now:.3f} s {promise}: {detail}")
 
     # Requests --------------------------------------------------------------------
 
@@ -86,11 +86,11 @@
         self.requests.append(request)
         return request
 
-    def answered(self, caller: EmulatedCaller, request: Request) -> None:
+    def request_answered(self, caller: EmulatedCaller, request: Request) -> None:
         """Take that a caller got the whole answer to its own request."""
         owner = self.owners.get(caller.flow)
         if owner is not None and owner.incarnation != caller.bound_to:
-            self.break_promise("whole answer", f"request {request.number}")
+            self.report_violation("whole answer", f"request {request.number}")
 
     def request_ran(self, target: EmulatedTarget, caller: EmulatedCaller) -> None:
         """Take that a target began to work on a request."""
@@ -99,9 +99,11 @@
             return
         request.runs += 1
         if not request.idempotent and request.runs > 1:
-            self.break_promise("at most once", f"order {request.number} ran again")
+            self.report_violation("at most once", f"order {request.number} ran again")
         if target.service not in self.services.get(caller.route, set()):
-            self.break_promise("isolation", f"{target.target_id} ran {request.number}")
+            self.report_violation(
+                "isolation", f"{target.target_id} ran {request.number}"
+            )
 
     # Flows -----------------------------------------------------------------------
 
@@ -113,7 +115,7 @@
         """Take that a flow has ended at its target."""
         self.owners.pop(flow, None)
 
-    def holds(self, flow: bytes) -> EmulatedTarget | None:
+    def live_owner(self, flow: bytes) -> EmulatedTarget | None:
         """Return the living target at which a flow is open."""
         owner = self.owners.get(flow)
         if owner is None or not owner.alive or flow not in owner.flows:
@@ -122,11 +124,13 @@
 
     def caller_reset(self, caller: EmulatedCaller, reply: Reply) -> None:
         """Take a reset that a caller got; a target may only reset its own flows."""
-        owner = self.holds(caller.flow)
+        owner = self.live_owner(caller.flow)
         if owner is None or reply.sender in (None, owner.incarnation):
             return
-        if self.calm(owner.zone) and self.settled(owner.disturbed_at):
-            self.break_promise("flows stay", f"a packet of {owner.target_id} strayed")
+        if self.links_undisturbed(owner.zone) and self.settled(owner.disturbed_at):
+            self.report_violation(
+                "flows stay", f"a packet of {owner.target_id} strayed"
+            )
 
     def host_reset(
         self,
@@ -136,14 +140,18 @@
         reason: ResetReason,
     ) -> None:
         """Take a reset that a host sends."""
-        owner = self.holds(packet.flow)
+        owner = self.live_owner(packet.flow)
         self.count_reset(host, owner, packet)
         if owner is not None and not caller.idempotent:
-            self.break_promise("orders are not reset", f"by {host.host_id}")
-        calm = owner is not None and self.calm(owner.zone) and self.calm(host.zone)
+            self.report_violation("orders are not reset", f"by {host.host_id}")
+        calm = (
+            owner is not None
+            and self.links_undisturbed(owner.zone)
+            and self.links_undisturbed(host.zone)
+        )
         if owner is not None and calm and self.settled(owner.disturbed_at):
             detail = f"{host.host_id} reset one of {owner.target_id}, {reason.value}"
-            self.break_promise("flows stay", detail)
+            self.report_violation("flows stay", detail)
         if reason is ResetReason.NO_ROUTE:
             self.check_missing_route(host, packet)
 
@@ -153,10 +161,10 @@
         """Count the reset of an open flow as true or false."""
         if packet.flags & SYN:
             return
-        if owner is None or self.network.is_cut(host.zone, owner.zone):
-            self.resets.true += 1
+        if owner is None or self.network.is_partitioned(host.zone, owner.zone):
+            self.resets.justified += 1
         else:
-            self.resets.false += 1
+            self.resets.unjustified += 1
 
     def check_missing_route(self, host: EmulatedHost, packet: Packet) -> None:
         """Judge whether a route was rightly called missing, in touch or not."""
@@ -165,40 +173,44 @@
         new = [found for time, found in self.accepted if time > long_ago]
         allowed = [*old[-1:], *new]
         if all(has_route(one, packet.route) for one in allowed):
-            self.break_promise("refusals are true", f"{host.host_id} refused a route")
+            self.report_violation(
+                "refusals are true", f"{host.host_id} refused a route"
+            )
 
     def forwarded(
         self, host: EmulatedHost, target: EmulatedTarget | None, packet: Packet
     ) -> None:
         """Take that a host sends a packet; a leaving target gets no new flow."""
         if target is not None:
-            self.zone_judge.forwarded(host, target, packet)
+            self.zone_checker.forwarded(host, target, packet)
         if target is None or target.leaving_at is None or not packet.flags & SYN:
             return
         late = self.clock.now - target.leaving_at > self.change_bound
-        if late and packet.flow not in target.flows and self.in_touch(host):
+        if late and packet.flow not in target.flows and self.host_undisturbed(host):
             detail = f"{host.host_id} placed a flow on {target.target_id}"
-            self.break_promise("leaving targets rest", detail)
+            self.report_violation("leaving targets rest", detail)
 
     # Hosts -----------------------------------------------------------------------
 
-    def host_seen(self, host: EmulatedHost, now: float) -> None:
+    def check_host(self, host: EmulatedHost, now: float) -> None:
         """Judge which configuration a host has in force."""
         assert host.core is not None
         revision = host.core.tables.configuration
         key = (host.host_id, host.boot)
-        highest = self.in_force.get(key, 0)
+        highest = self.highest_revisions.get(key, 0)
         if revision < highest:
-            self.break_promise("no way back", f"{host.host_id} fell to {revision}")
-        self.in_force[key] = max(revision, highest)
+            self.report_violation("no way back", f"{host.host_id} fell to {revision}")
+        self.highest_revisions[key] = max(revision, highest)
         due = [found for time, found in self.accepted if now - time > self.change_bound]
-        if due and revision < due[-1].revision and self.in_touch(host):
-            self.break_promise("changes in force", f"{host.host_id} is at {revision}")
+        if due and revision < due[-1].revision and self.host_undisturbed(host):
+            self.report_violation(
+                "changes in force", f"{host.host_id} is at {revision}"
+            )
 
     def logged(self, host: EmulatedHost, log: Log) -> None:
         """Count a log event."""
         self.events[log.number] += 1
-        self.zone_judge.logged(host, log)
+        self.zone_checker.logged(host, log)
 
     # Calm ------------------------------------------------------------------------
 
@@ -206,23 +218,29 @@
         """Whether a trouble is long enough ago."""
         return self.clock.now - since >= self.settling
 
-    def calm(self, zone: str) -> bool:
+    def links_undisturbed(self, zone: str) -> bool:
         """Whether the links of a zone were well for long enough."""
         disturbed_at = self.network.disturbed_at.get(zone, -100.0)
-        well = zone not in self.network.cut and self.network.loss <= CALM_LOSS
+        well = (
+            zone not in self.network.partitioned and self.network.loss <= BASELINE_LOSS
+        )
         return well and self.settled(disturbed_at)
 
-    def in_touch(self, host: EmulatedHost) -> bool:
+    def host_undisturbed(self, host: EmulatedHost) -> bool:
         """Whether a host, its links and the store were well for long enough."""
         store = self.store
-        store_well = store.trouble is None and not store.deaf and store.slowness == 1.0
+        store_well = (
+            store.outage is None
+            and not store.watches_suppressed
+            and store.slowness == 1.0
+        )
         return (
             store_well
             and self.settled(store.disturbed_at)
             and self.settled(host.disturbed_at)
             and not host.frozen
-            and host.host_id not in store.cut_hosts
-            and self.calm(host.zone)
+            and host.host_id not in store.partitioned_hosts
+            and self.links_undisturbed(host.zone)
         )
 
 
--- a/citronspring/emulator/clock.py
+++ b/citronspring/emulator/clock.py
@@ -22,13 +22,13 @@
     def __init__(self, seed: int) -> None:
         self.now = 0.0
         self.rng = Random(seed)
-        self.waiting: list[tuple[float, int, Callable[[], None]]] = []
+        self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.count = 0
 
     def at(self, time: float, run: Callable[[], None]) -> None:
         """Have a function run at a time, or now if that has passed."""
         self.count += 1
-        heappush(self.waiting, (max(time, self.now), self.count, run))
+        heappush(self.events, (max(time, self.now), self.count, run))
 
     def after(self, seconds: float, run: Callable[[], None]) -> None:
         """Have a function run after some seconds."""
@@ -36,7 +36,7 @@
 
     def run_until(self, end: float) -> None:
         """Run everything up to a time."""
-        while self.waiting and self.waiting[0][0] <= end:
-            self.now, _, run = heappop(self.waiting)
+        while self.events and self.events[0][0] <= end:
+            self.now, _, run = heappop(self.events)
             run()
         self.now = end
--- a/citronspring/emulator/faults.py
+++ b/citronspring/emulator/faults.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from citronspring.emulator.network import CALM_LOSS
-from citronspring.emulator.store import Trouble, reader_key
-from citronspring.emulator.world import LEAD, ZONES
+from citronspring.emulator.network import BASELINE_LOSS
+from citronspring.emulator.store import Outage, reader_key
+from citronspring.emulator.world import TRAFFIC_START, ZONES
 from citronspring.tokens.entries import ZoneReader
 
 if TYPE_CHECKING:
@@ -19,23 +19,23 @@
     from citronspring.emulator.world import World
 
 #: Seconds of traffic before the first fault, and without one at the end.
-FIRST_FAULT = 3.0
-CALM_END = 6.0
+FAULT_FREE_START = 3.0
+FAULT_FREE_END = 6.0
 
 #: Faults of a run, at least and at most.
-FAULTS = (2, 6)
+FAULT_COUNT = (2, 6)
 
 #: Routes by which a configuration grows, and the most without traffic: 1 MB as the
 #: store answers with it.
-GROWTH = 2000
-MOST_IDLE_ROUTES = 4000
+ADDED_ROUTES = 2000
+MAX_IDLE_ROUTES = 4000
 
 #: Changes in a row, and the seconds between them.
-STORM = 20
+STORM_CHANGES = 20
 STORM_GAP = 0.1
 
 #: Share of datagrams that a bad link loses.
-BAD_LOSS = 0.03
+HIGH_LOSS = 0.03
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,17 +47,17 @@
     seconds: float
 
 
-def draw_faults(world: World, kinds: dict[str, Befall]) -> list[Fault]:
+def schedule_faults(world: World, kinds: dict[str, FaultAction]) -> list[Fault]:
     """Draw the faults of a run from some kinds, and plan them."""
     rng = world.clock.rng
-    last = LEAD + world.sizes.seconds - CALM_END
+    last = TRAFFIC_START + world.sizes.seconds - FAULT_FREE_END
     faults = [
         Fault(
-            rng.uniform(LEAD + FIRST_FAULT, last),
+            rng.uniform(TRAFFIC_START + FAULT_FREE_START, last),
             rng.choice(sorted(kinds)),
             rng.uniform(0.5, 5.0),
         )
-        for _ in range(rng.randint(*FAULTS))
+        for _ in range(rng.randint(*FAULT_COUNT))
     ]
     for fault in sorted(faults, key=lambda one: one.at):
         befall = kinds[fault.kind]
@@ -65,7 +65,7 @@
     return sorted(faults, key=lambda one: one.at)
 
 
-def living(world: World) -> list[EmulatedTarget]:
+def active_targets(world: World) -> list[EmulatedTarget]:
     """Return the targets that are up and stay."""
     return [
         target
@@ -81,7 +81,7 @@
 
 def crash_target(world: World, fault: Fault) -> None:
     """A target ends without a word; its entry goes after three heartbeats."""
-    target = world.clock.rng.choice(living(world))
+    target = world.clock.rng.choice(active_targets(world))
     target.crash()
     world.clock.after(3.6, lambda: world.store.remove_target(target))
     world.clock.after(
@@ -92,13 +92,13 @@
 def replace_targets(world: World, fault: Fault) -> None:
     """A release: two targets leave one after the other, new ones take over."""
     rng: Random = world.clock.rng
-    for number, target in enumerate(rng.sample(living(world), 2)):
+    for number, target in enumerate(rng.sample(active_targets(world), 2)):
         world.clock.after(number * 0.8, lambda one=target: world.replace_target(one))
 
 
 def slow_target(world: World, fault: Fault) -> None:
     """A target works ten times slower for a while."""
-    target = world.clock.rng.choice(living(world))
+    target = world.clock.rng.choice(active_targets(world))
     target.slowness = 10.0
     world.clock.after(fault.seconds, lambda: setattr(target, "slowness", 1.0))
 
@@ -107,10 +107,10 @@
     """A host's process is killed and starts again."""
     host = pick_host(world)
     host.kill()
-    world.clock.after(fault.seconds, lambda: restart(host))
+    world.clock.after(fault.seconds, lambda: restart_host(host))
 
 
-def restart(host: EmulatedHost) -> None:
+def restart_host(host: EmulatedHost) -> None:
     """Start a host's process unless something else has."""
     if host.core is None:
         host.start()
@@ -120,14 +120,14 @@
     """All processes are killed at once."""
     for host in world.hosts:
         host.kill()
-        world.clock.after(0.8, lambda one=host: restart(one))
+        world.clock.after(0.8, lambda one=host: restart_host(one))
 
 
 def freeze_host(world: World, fault: Fault) -> None:
     """A host stands still, then goes on with what it knew."""
     host = pick_host(world)
     host.freeze()
-    world.clock.after(fault.seconds, host.thaw)
+    world.clock.after(fault.seconds, host.resume)
 
 
 def stop_host(world: World, fault: Fault) -> None:
@@ -138,50 +138,50 @@
 def cut_zone(world: World, fault: Fault) -> None:
     """A zone is cut off from the others; callers still reach it."""
     zone = world.clock.rng.choice(ZONES)
-    world.network.cut_off(zone)
+    world.network.partition(zone)
     world.clock.after(fault.seconds, lambda: world.network.heal(zone))
 
 
 def lose_datagrams(world: World, fault: Fault) -> None:
     """Links lose more datagrams than usual."""
     network = world.network
-    network.loss = BAD_LOSS
-    world.clock.after(fault.seconds, lambda: end_loss(world))
+    network.loss = HIGH_LOSS
+    world.clock.after(fault.seconds, lambda: restore_baseline_loss(world))
 
 
-def end_loss(world: World) -> None:
+def restore_baseline_loss(world: World) -> None:
     """Links are well again."""
-    world.network.loss = CALM_LOSS
+    world.network.loss = BASELINE_LOSS
     for zone in ZONES:
         world.network.disturbed_at[zone] = world.clock.now
 
 
 def silence_store(world: World, fault: Fault) -> None:
     """The store takes calls and answers none."""
-    trouble_store(world, fault, Trouble.SILENT, frozenset())
+    begin_store_outage(world, fault, Outage.UNRESPONSIVE, frozenset())
 
 
 def refuse_hosts(world: World, fault: Fault) -> None:
     """The store turns some hosts away and serves the others."""
     hosts = world.clock.rng.sample(world.hosts, 2)
     ids = frozenset(host.host_id for host in hosts)
-    kind = world.clock.rng.choice(list(Trouble))
-    trouble_store(world, fault, kind, ids)
+    kind = world.clock.rng.choice(list(Outage))
+    begin_store_outage(world, fault, kind, ids)
 
 
-def trouble_store(
-    world: World, fault: Fault, trouble: Trouble, hosts: frozenset[str]
+def begin_store_outage(
+    world: World, fault: Fault, trouble: Outage, hosts: frozenset[str]
 ) -> None:
     """Begin a trouble of the store that ends by itself."""
-    world.store.begin_trouble(trouble, hosts)
-    world.clock.after(fault.seconds, world.store.end_trouble)
+    world.store.begin_outage(trouble, hosts)
+    world.clock.after(fault.seconds, world.store.end_outage)
 
 
 def slow_store(world: World, fault: Fault) -> None:
     """The store takes fifty times as long."""
     world.store.slowness = 50.0
     world.store.disturbed_at = world.clock.now
-    world.clock.after(fault.seconds, world.store.end_trouble)
+    world.clock.after(fault.seconds, world.store.end_outage)
 
 
 def lose_history(world: World, fault: Fault) -> None:
@@ -195,12 +195,12 @@
     """Entries of living targets lapse; the targets register again soon after."""
     store = world.store
     store.disturbed_at = world.clock.now
-    for target in world.clock.rng.sample(living(world), 4):
+    for target in world.clock.rng.sample(active_targets(world), 4):
         store.remove_target(target)
-        world.clock.after(1.8, lambda one=target: register_again(world, one))
+        world.clock.after(1.8, lambda one=target: register_target(world, one))
 
 
-def register_again(world: World, target: EmulatedTarget) -> None:
+def register_target(world: World, target: EmulatedTarget) -> None:
     """Have a target that lives put its entry back."""
     world.store.disturbed_at = world.clock.now
     if target.alive:
@@ -215,14 +215,14 @@
 
 def grow_configuration(world: World, fault: Fault) -> None:
     """The configuration grows by thousands of routes, and changes again soon after."""
-    world.idle_routes = min(world.idle_routes + GROWTH, MOST_IDLE_ROUTES)
+    world.idle_routes = min(world.idle_routes + ADDED_ROUTES, MAX_IDLE_ROUTES)
     world.change_configuration()
     world.clock.after(fault.seconds, world.change_configuration)
 
 
 def storm_configuration(world: World, fault: Fault) -> None:
     """The operators change the configuration many times in a row."""
-    for number in range(STORM):
+    for number in range(STORM_CHANGES):
         world.clock.after(number * STORM_GAP, world.change_configuration)
 
 
@@ -231,11 +231,11 @@
 
 def pick_reader(world: World) -> EmulatedHost:
     """Draw one of the zones' readers, any host if there is none."""
-    readers = [host for host in world.hosts if reads_for_zone(world, host)]
+    readers = [host for host in world.hosts if is_zone_reader(world, host)]
     return world.clock.rng.choice(readers or world.hosts)
 
 
-def reads_for_zone(world: World, host: EmulatedHost) -> bool:
+def is_zone_reader(world: World, host: EmulatedHost) -> bool:
     """Whether a host is registered as the reader of its zone."""
     entry = world.store.entries.get(reader_key(host.zone))
     return isinstance(entry, ZoneReader) and entry.host_id == host.host_id
@@ -246,7 +246,7 @@
     host = pick_reader(world)
     host.kill()
     world.change_configuration()
-    world.clock.after(fault.seconds, lambda: restart(host))
+    world.clock.after(fault.seconds, lambda: restart_host(host))
 
 
 def freeze_reader(world: World, fault: Fault) -> None:
@@ -254,7 +254,7 @@
     host = pick_reader(world)
     host.freeze()
     world.change_configuration()
-    world.clock.after(fault.seconds, host.thaw)
+    world.clock.after(fault.seconds, host.resume)
 
 
 def cut_reader(world: World, fault: Fault) -> None:
@@ -263,16 +263,16 @@
     To the other hosts this is no trouble: the bound holds for them all the while.
     """
     host = pick_reader(world)
-    world.store.cut_off(host.host_id)
+    world.store.partition(host.host_id)
     host.disturbed_at = world.clock.now
     world.change_configuration()
     replace_targets(world, fault)
-    world.clock.after(fault.seconds, lambda: heal_host(world, host))
+    world.clock.after(fault.seconds, lambda: reconnect_host(world, host))
 
 
-def heal_host(world: World, host: EmulatedHost) -> None:
+def reconnect_host(world: World, host: EmulatedHost) -> None:
     """Let a host reach the store again."""
-    world.store.cut_hosts.discard(host.host_id)
+    world.store.partitioned_hosts.discard(host.host_id)
     host.disturbed_at = world.clock.now
 
 
@@ -311,7 +311,7 @@
 def return_cold(world: World, fault: Fault) -> None:
     """A zone's targets end without a word; others start in their place, all at once."""
     zone = world.clock.rng.choice(ZONES)
-    for target in living(world):
+    for target in active_targets(world):
         if target.zone == zone:
             target.crash()
             world.clock.after(3.6, lambda one=target: world.store.remove_target(one))
@@ -322,7 +322,7 @@
 
 def release_service(world: World, fault: Fault) -> None:
     """All targets of the larger service are replaced, a few at a time."""
-    desk = [target for target in living(world) if target.service == "desk"]
+    desk = [target for target in active_targets(world) if target.service == "desk"]
     for number, target in enumerate(desk):
         world.clock.after(
             number // 3 * 0.8, lambda one=target: release_target(world, one)
@@ -342,10 +342,10 @@
         world.replace_target(target)
 
 
-Befall = Callable[["World", Fault], None]
+FaultAction = Callable[["World", Fault], None]
 
 #: What may befall every run.
-KINDS: dict[str, Befall] = {
+KINDS: dict[str, FaultAction] = {
     "change-configuration": change_configuration,
     "crash-target": crash_target,
     "cut-zone": cut_zone,
@@ -365,7 +365,7 @@
 
 #: The same, and what befalls the hosts that read for their zones. Apart, so that the
 #: seeds of the runs above go on meaning what they did.
-READER_KINDS: dict[str, Befall] = {
+READER_KINDS: dict[str, FaultAction] = {
     **KINDS,
     "cut-reader": cut_reader,
     "freeze-reader": freeze_reader,
@@ -375,7 +375,7 @@
 
 #: The same, and configurations that grow to 700 KB and more. For runs in which answers
 #: of the store take the time that a link needs for them.
-LARGE_KINDS: dict[str, Befall] = {
+LARGE_KINDS: dict[str, FaultAction] = {
     **READER_KINDS,
     "grow-configuration": grow_configuration,
     "storm-configuration": storm_configuration,
@@ -383,7 +383,7 @@
 
 #: The same as for readers, and zones that are drained or return with cold targets. For
 #: runs in which targets that start are cold.
-ZONE_KINDS: dict[str, Befall] = {
+ZONE_KINDS: dict[str, FaultAction] = {
     **READER_KINDS,
     "drain-again": drain_again,
     "drain-unheard": drain_unheard,
--- a/citronspring/emulator/hosts.py
+++ b/citronspring/emulator/hosts.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from citronspring.emulator.calls import TURN, Pending
-from citronspring.emulator.downloads import bytes_of
+from citronspring.emulator.answer_sizes import answer_bytes
+from citronspring.emulator.calls import ITERATION_INTERVAL, PendingCall
 from citronspring.emulator.links import Link
 from citronspring.emulator.network import CALLERS
 from citronspring.emulator.targets import Reply
@@ -50,10 +50,10 @@
 START_SECONDS = 0.2
 
 #: Seconds that a stopping process has.
-GRACE = 5.0
+STOP_GRACE_SECONDS = 5.0
 
 #: Datagrams that the kernel keeps for a process that does not read.
-KERNEL_QUEUE = 500
+SOCKET_QUEUE_PACKETS = 500
 
 
 @dataclass(slots=True, eq=False)
@@ -73,7 +73,7 @@
     boot: int = 0
     frozen: bool = False
     queue: list[tuple[Packet, EmulatedCaller]] = field(default_factory=list)
-    calling: bool = False
+    store_call_pending: bool = False
     #: When the host was last started, stopped, frozen or thawed.
     disturbed_at: float = -100.0
     seed: int = 0
@@ -81,13 +81,13 @@
     peers: list[EmulatedHost] = field(default_factory=list)
     #: All hosts by their ids, which stand for addresses.
     fleet: dict[str, EmulatedHost] = field(default_factory=dict)
-    electing: bool = False
+    election_call_pending: bool = False
     #: Its own link, which callers' packets come in by and leave by.
-    inward: Link = field(default_factory=Link)
+    inbound_link: Link = field(default_factory=Link)
     #: Bytes a second at which answers of the store come in. Apart from the links of
     #: packets: a connection takes what they leave, and its losses are made up for.
     download_rate: float = math.inf
-    outward: Link = field(default_factory=Link)
+    outbound_link: Link = field(default_factory=Link)
     #: Questions of followers that are held, each with what answers it.
     polls: list[tuple[FeedPoll, Callable[[int, bytes], None]]] = field(
         default_factory=list
@@ -97,12 +97,12 @@
         """Start the process."""
         self.seed = seed_of(self.host_id)
         self.boot += 1
-        self.frozen = self.calling = self.electing = False
+        self.frozen = self.store_call_pending = self.election_call_pending = False
         self.disturbed_at = self.clock.now
         boot = self.boot
-        self.clock.after(START_SECONDS, lambda: self.begin(boot))
+        self.clock.after(START_SECONDS, lambda: self.begin_serving(boot))
 
-    def begin(self, boot: int) -> None:
+    def begin_serving(self, boot: int) -> None:
         """Serve, unless the process was killed while it started."""
         if boot != self.boot:
             return
@@ -110,7 +110,7 @@
             self.host_id, self.zone, self.times, len(self.peers)
         )
         if self.download_rate < math.inf:
-            self.core.tables.news.rate = LINK_SHARE * self.download_rate
+            self.core.tables.change_log.rate = LINK_SHARE * self.download_rate
         self.core.begin_iteration(self.clock.now)
         self.turn(boot)
 
@@ -127,7 +127,7 @@
         self.frozen = True
         self.disturbed_at = self.clock.now
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Let the process go on: what waits is read before timers run."""
         self.frozen = False
         self.disturbed_at = self.clock.now
@@ -139,21 +139,21 @@
         """Ask the process to stop in order."""
         if self.core is not None and not self.frozen:
             now = self.clock.now
-            self.perform(self.core.leave(now + GRACE, now))
+            self.perform(self.core.leave(now + STOP_GRACE_SECONDS, now))
 
-    def answers_ready(self) -> bool:
+    def passes_readiness_probe(self) -> bool:
         """Whether a router's question for readiness is answered with yes."""
         return self.core is not None and not self.frozen and self.core.ready
 
-    def take(self, packet: Packet, caller: EmulatedCaller) -> None:
+    def receive_packet(self, packet: Packet, caller: EmulatedCaller) -> None:
         """Have a caller's packet come in by the host's link."""
-        self.inward.carry(
+        self.inbound_link.carry(
             self.clock, packet.length, lambda: self.enqueue(packet, caller)
         )
 
     def enqueue(self, packet: Packet, caller: EmulatedCaller) -> None:
         """Receive a caller's packet."""
-        if self.core is None or len(self.queue) >= KERNEL_QUEUE:
+        if self.core is None or len(self.queue) >= SOCKET_QUEUE_PACKETS:
             return
         self.queue.append((packet, caller))
         if not self.frozen:
@@ -186,38 +186,38 @@
                 self.core.begin_iteration(now)
             self.read_queue()
             self.perform(self.core.tick(now))
-            self.ask_store(boot)
+            self.call_store(boot)
             self.elect(boot)
             self.answer_polls()
-            self.checker.host_seen(self, now)
+            self.checker.check_host(self, now)
             if self.core.may_stop(now):
                 self.kill()
                 self.start()
                 return
-        self.clock.after(TURN, lambda: self.turn(boot))
+        self.clock.after(ITERATION_INTERVAL, lambda: self.turn(boot))
 
-    def ask_store(self, boot: int) -> None:
+    def call_store(self, boot: int) -> None:
         """Make the next call if none is under way."""
         assert self.core is not None
-        if self.calling:
+        if self.store_call_pending:
             return
         now = self.clock.now
         call = self.core.next_call(now)
         if call is None:
             return
-        self.calling = True
+        self.store_call_pending = True
         core = self.core
 
         def take(answer: StoreAnswer) -> list[Action]:
-            self.calling = False
+            self.store_call_pending = False
             return core.handle_store_answer(call, answer, now, self.clock.now)
 
-        pending = Pending(self, boot, take)
+        pending = PendingCall(self, boot, take)
         match call:
             case ReadPeer():
-                self.ask_peer(self.peers[call.turn % len(self.peers)], pending)
+                self.read_peer(self.peers[call.turn % len(self.peers)], pending)
             case FollowReader():
-                self.follow(self.fleet[call.endpoint.ip], call, pending)
+                self.poll_reader(self.fleet[call.endpoint.ip], call, pending)
             case _:
                 largest = self.core.largest_answer(call)
                 self.store.call(
@@ -228,14 +228,16 @@
         deadline = self.core.answer_deadline(call, now)
         self.clock.at(deadline, pending.expire)
 
-    def download(self, found: StoreAnswer, largest: float, pending: Pending) -> None:
+    def download(
+        self, found: StoreAnswer, largest: float, pending: PendingCall
+    ) -> None:
         """Have an answer of the store come in by the host's link, or refuse it."""
-        size = bytes_of(found)
+        size = answer_bytes(found)
         if size > largest:
             pending.answer(AnswerTooLarge())
             return
         seconds = size / self.download_rate
-        pending.coming_in = True
+        pending.receiving = True
         if seconds:
             self.clock.after(seconds, lambda: pending.answer(found))
         else:
@@ -244,7 +246,7 @@
     def elect(self, boot: int) -> None:
         """Make the next call for the choice of the zone's reader."""
         assert self.core is not None
-        if self.electing:
+        if self.election_call_pending:
             return
         now = self.clock.now
         own = Endpoint(self.host_id, 0)
@@ -252,20 +254,20 @@
         call = self.core.next_election_call(own, delay, now)
         if call is None:
             return
-        self.electing = True
+        self.election_call_pending = True
         core = self.core
 
         def take(answer: ElectionAnswer) -> list[Action]:
-            self.electing = False
+            self.election_call_pending = False
             return core.handle_election_answer(call, answer, now, self.clock.now)
 
-        pending = Pending(self, boot, take)
+        pending = PendingCall(self, boot, take)
         self.store.elect(self.host_id, call, pending.answer)
         timeout = Unanswered("no answer in time")
         self.clock.after(CALL_TIMEOUT, lambda: pending.answer(timeout))
 
-    def follow(
-        self, reader: EmulatedHost, call: FollowReader, pending: Pending
+    def poll_reader(
+        self, reader: EmulatedHost, call: FollowReader, pending: PendingCall
     ) -> None:
         """Ask the zone's reader for news."""
 
@@ -294,7 +296,7 @@
             else:
                 reply(*found)
 
-    def ask_peer(self, peer: EmulatedHost, pending: Pending) -> None:
+    def read_peer(self, peer: EmulatedHost, pending: PendingCall) -> None:
         """Ask another host for a copy, over the links between the zones."""
 
         def answer() -> None:
@@ -317,9 +319,9 @@
                 case Log():
                     self.checker.logged(self, action)
                 case Tell():
-                    self.tell(action)
+                    self.send_message(action)
 
-    def tell(self, action: Tell) -> None:
+    def send_message(self, action: Tell) -> None:
         """Send a message to another host."""
         other = self.fleet[action.to]
 
@@ -351,7 +353,7 @@
                 lambda: target.receive(packet, incarnation, caller),
             )
 
-        self.outward.carry(self.clock, packet.length, leave)
+        self.outbound_link.carry(self.clock, packet.length, leave)
 
     def reset(self, action: ResetCaller) -> None:
         """Send a reset to the caller."""
@@ -363,7 +365,7 @@
         def leave() -> None:
             self.network.send(self.zone, CALLERS, lambda: caller.receive(reply))
 
-        self.outward.carry(self.clock, 0, leave)
+        self.outbound_link.carry(self.clock, 0, leave)
 
 
 def with_token(packet: Packet, token: int) -> Packet:
--- a/citronspring/emulator/links.py
+++ b/citronspring/emulator/links.py
@@ -13,10 +13,10 @@
 
 #: Bytes that a packet takes beside its payload: headers of the flow, UDP, IP and the
 #: frame.
-HEAD_BYTES = 77
+HEADER_BYTES = 77
 
 #: Seconds that a packet waits at most; one that would wait longer is dropped.
-LONGEST_WAIT = 0.6
+MAX_QUEUE_SECONDS = 0.6
 
 
 @dataclass(slots=True)
@@ -32,10 +32,10 @@
     def carry(self, clock: Clock, length: int, deliver: Callable[[], None]) -> None:
         """Deliver a packet once it is through, unless it is dropped."""
         waits = max(self.free_at - clock.now, 0.0)
-        if waits > LONGEST_WAIT:
+        if waits > MAX_QUEUE_SECONDS:
             self.dropped += 1
             return
-        self.free_at = clock.now + waits + (length + HEAD_BYTES) / self.rate
+        self.free_at = clock.now + waits + (length + HEADER_BYTES) / self.rate
         if self.free_at > clock.now:
             clock.at(self.free_at, deliver)
         else:
--- a/citronspring/emulator/loads.py
+++ b/citronspring/emulator/loads.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING
 
 from citronspring.emulator.faults import (
-    Befall,
     Fault,
+    FaultAction,
     release_service,
     return_cold,
     scale_out,
 )
-from citronspring.emulator.world import LEAD
+from citronspring.emulator.world import TRAFFIC_START
 
 if TYPE_CHECKING:
     from citronspring.emulator.world import World
@@ -29,16 +29,16 @@
     """Return a load of some times the usual callers for six seconds."""
 
     def plan(world: World) -> None:
-        start = LEAD + BURST_AT
-        world.clock.at(start, lambda: press(world, factor))
-        world.clock.at(start + BURST_SECONDS, lambda: press(world, 1.0))
+        start = TRAFFIC_START + BURST_AT
+        world.clock.at(start, lambda: set_load_factor(world, factor))
+        world.clock.at(start + BURST_SECONDS, lambda: set_load_factor(world, 1.0))
 
     return plan
 
 
-def press(world: World, factor: float) -> None:
+def set_load_factor(world: World, factor: float) -> None:
     """Have some times the usual callers start from now on."""
-    world.press = factor
+    world.load_factor = factor
 
 
 def cut_in_burst(factor: float) -> Load:
@@ -46,8 +46,8 @@
 
     def plan(world: World) -> None:
         burst(factor)(world)
-        start = LEAD + BURST_AT + 1.0
-        world.clock.at(start, lambda: world.network.cut_off("south"))
+        start = TRAFFIC_START + BURST_AT + 1.0
+        world.clock.at(start, lambda: world.network.partition("south"))
         world.clock.at(start + 3.0, lambda: world.network.heal("south"))
 
     return plan
@@ -58,7 +58,7 @@
 
     def plan(world: World) -> None:
         burst(factor)(world)
-        start = LEAD + BURST_AT + 1.0
+        start = TRAFFIC_START + BURST_AT + 1.0
         world.clock.at(start, lambda: crash_two(world))
 
     return plan
@@ -69,7 +69,7 @@
 
     def plan(world: World) -> None:
         burst(factor)(world)
-        start = LEAD + BURST_AT
+        start = TRAFFIC_START + BURST_AT
         world.clock.at(start, lambda: slow_third(world, 10.0))
         world.clock.at(start + BURST_SECONDS, lambda: slow_third(world, 1.0))
 
@@ -83,7 +83,7 @@
             target.slowness = slowness
 
 
-def die_silently(share: float) -> Load:
+def crash_targets(share: float) -> Load:
     """Return a load within which a share of the larger service's targets end for good.
 
     They say nothing, and their entries stay until the store misses their heartbeats.
@@ -96,7 +96,7 @@
             world.clock.after(3.6, lambda one=target: world.store.remove_target(one))
 
     def plan(world: World) -> None:
-        world.clock.at(LEAD + BURST_AT, lambda: end(world))
+        world.clock.at(TRAFFIC_START + BURST_AT, lambda: end(world))
 
     return plan
 
@@ -108,7 +108,7 @@
         world.network.loss = share
 
     def plan(world: World) -> None:
-        world.clock.at(LEAD + BURST_AT, lambda: lose(world))
+        world.clock.at(TRAFFIC_START + BURST_AT, lambda: lose(world))
 
     return plan
 
@@ -121,21 +121,21 @@
         world.clock.after(3.6, lambda one=target: world.store.remove_target(one))
 
 
-def drain_in_rush(factor: float) -> Load:
+def drain_in_burst(factor: float) -> Load:
     """Return a rush of callers within which a zone is drained; it comes back cold."""
 
     def plan(world: World) -> None:
         burst(factor)(world)
-        start = LEAD + BURST_AT + 0.5
+        start = TRAFFIC_START + BURST_AT + 0.5
         world.clock.at(start, lambda: world.drain_zone("south"))
         world.clock.at(start + 3.0, lambda: world.end_drain("south"))
 
     return plan
 
 
-def befall_in_rush(factor: float, befall: Befall, seconds: float) -> Load:
+def fault_in_burst(factor: float, befall: FaultAction, seconds: float) -> Load:
     """Return a rush of callers within which a fault befalls the world."""
-    fault = Fault(LEAD + BURST_AT + 0.5, befall.__name__, seconds)
+    fault = Fault(TRAFFIC_START + BURST_AT + 0.5, befall.__name__, seconds)
 
     def plan(world: World) -> None:
         burst(factor)(world)
@@ -144,19 +144,19 @@
     return plan
 
 
-def return_cold_in_rush(factor: float) -> Load:
+def return_cold_in_burst(factor: float) -> Load:
     """Return a rush within which a zone's targets end, and others start at once."""
-    return befall_in_rush(factor, return_cold, 2.5)
+    return fault_in_burst(factor, return_cold, 2.5)
 
 
-def release_in_rush(factor: float) -> Load:
+def release_in_burst(factor: float) -> Load:
     """Return a rush within which all targets of a service are replaced."""
-    return befall_in_rush(factor, release_service, 0.0)
+    return fault_in_burst(factor, release_service, 0.0)
 
 
-def scale_out_in_rush(factor: float) -> Load:
+def scale_out_in_burst(factor: float) -> Load:
     """Return a rush within which a third more targets start."""
-    return befall_in_rush(factor, scale_out, 0.0)
+    return fault_in_burst(factor, scale_out, 0.0)
 
 
 def change_configuration(
@@ -181,7 +181,7 @@
         world.change_configuration()
 
     def plan(world: World) -> None:
-        start = LEAD + at
+        start = TRAFFIC_START + at
         world.clock.at(start, lambda: grow(world))
         for number in range(1, changes):
             world.clock.at(start + number * gap, world.change_configuration)
--- a/citronspring/emulator/network.py
+++ b/citronspring/emulator/network.py
@@ -14,16 +14,16 @@
 CALLERS = "callers"
 
 #: Seconds one way: within a zone, between zones, to callers.
-IN_ZONE = 0.0001
-BETWEEN_ZONES = 0.0014
-TO_CALLERS = 0.001
+IN_ZONE_DELAY = 0.0001
+CROSS_ZONE_DELAY = 0.0014
+CALLER_DELAY = 0.001
 
 #: Share of a delay by which packets of one burst differ, so that they overtake
 #: each other as on real links.
 JITTER = 1.0
 
 #: Share of datagrams lost on calm links.
-CALM_LOSS = 0.0002
+BASELINE_LOSS = 0.0002
 
 
 @dataclass(slots=True)
@@ -32,40 +32,40 @@
 
     clock: Clock
     #: Zones that are cut off from all other zones, and when that began or ended.
-    cut: set[str] = field(default_factory=set)
+    partitioned: set[str] = field(default_factory=set)
     disturbed_at: dict[str, float] = field(default_factory=dict)
-    loss: float = CALM_LOSS
+    loss: float = BASELINE_LOSS
 
     def send(self, source: str, target: str, deliver: Callable[[], None]) -> None:
         """Deliver a packet after its delay, unless it is lost."""
-        if self.is_cut(source, target) or self.clock.rng.random() < self.loss:
+        if self.is_partitioned(source, target) or self.clock.rng.random() < self.loss:
             return
         delay = self.delay(source, target)
         self.clock.after(delay * (1 + JITTER * self.clock.rng.random()), deliver)
 
     def carry(self, source: str, target: str, deliver: Callable[[], None]) -> None:
         """Deliver a message over a connection, which makes up for lost packets."""
-        if not self.is_cut(source, target):
+        if not self.is_partitioned(source, target):
             self.clock.after(self.delay(source, target), deliver)
 
     def delay(self, source: str, target: str) -> float:
         """Return the seconds that a packet takes at least."""
         if CALLERS in (source, target):
-            return TO_CALLERS
-        return IN_ZONE if source == target else BETWEEN_ZONES
+            return CALLER_DELAY
+        return IN_ZONE_DELAY if source == target else CROSS_ZONE_DELAY
 
-    def is_cut(self, source: str, target: str) -> bool:
+    def is_partitioned(self, source: str, target: str) -> bool:
         """Whether nothing gets from one zone to another."""
         if source == target or CALLERS in (source, target):
             return False
-        return source in self.cut or target in self.cut
+        return source in self.partitioned or target in self.partitioned
 
-    def cut_off(self, zone: str) -> None:
+    def partition(self, zone: str) -> None:
         """Cut a zone off from the others."""
-        self.cut.add(zone)
+        self.partitioned.add(zone)
         self.disturbed_at[zone] = self.clock.now
 
     def heal(self, zone: str) -> None:
         """Connect a zone again."""
-        self.cut.discard(zone)
+        self.partitioned.discard(zone)
         self.disturbed_at[zone] = self.clock.now
--- a/citronspring/emulator/report.py
+++ b/citronspring/emulator/report.py
@@ -5,7 +5,7 @@
 from html import escape
 from typing import TYPE_CHECKING
 
-from citronspring.emulator.world import LEAD
+from citronspring.emulator.world import TRAFFIC_START
 
 if TYPE_CHECKING:
     from citronspring.emulator.faults import Fault
@@ -38,10 +38,10 @@
 
 def table_row(outcome: Outcome) -> str:
     """Return the row of a run."""
-    broken = "".join(f"<br>{escape(text)}" for text in outcome.broken)
+    broken = "".join(f"<br>{escape(text)}" for text in outcome.violations)
     return (
         f"<tr><td>{outcome.seed}<td>{outcome.requests}<td>{outcome.served}"
-        f"<td>{outcome.in_time}<td>{outcome.busiest:.2f}<td>{outcome.store_calls}"
+        f"<td>{outcome.in_time}<td>{outcome.imbalance:.2f}<td>{outcome.store_calls}"
         f"<td>{escape(outcome.faults_text)}<span class=broken>{broken}</span></tr>"
     )
 
@@ -65,7 +65,7 @@
 
 def fault_mark(fault: Fault, step: float) -> str:
     """Return the mark of a fault on a plot."""
-    x = MARGIN + (fault.at - LEAD) * step
+    x = MARGIN + (fault.at - TRAFFIC_START) * step
     return (
         f"<line class=fault x1={x:.1f} x2={x:.1f} y1=12 y2={HEIGHT - 10} />"
         f"<text x={x + 3:.1f} y=12>{escape(fault.kind)}</text>"
--- a/citronspring/emulator/restore_faults.py
+++ b/citronspring/emulator/restore_faults.py
@@ -6,55 +6,59 @@
 
 from citronspring.emulator.faults import (
     ZONE_KINDS,
-    heal_host,
     pick_reader,
+    reconnect_host,
     replace_targets,
 )
-from citronspring.emulator.restores import MOMENT, come_back, copy_of
+from citronspring.emulator.restores import (
+    OUTAGE_SECONDS,
+    restore_after_outage,
+    take_backup,
+)
 from citronspring.emulator.world import ZONES
 
 if TYPE_CHECKING:
-    from citronspring.emulator.faults import Befall, Fault
+    from citronspring.emulator.faults import Fault, FaultAction
     from citronspring.emulator.world import World
 
 
 def restore_store(world: World, fault: Fault) -> None:
     """The store comes back from a copy that lacks the changes of some seconds."""
-    copy = copy_of(world.store)
+    copy = take_backup(world.store)
     world.clock.after(0.2 * fault.seconds, world.change_configuration)
     world.clock.after(0.4 * fault.seconds, lambda: replace_targets(world, fault))
     world.clock.after(0.6 * fault.seconds, world.change_configuration)
-    world.clock.after(fault.seconds, lambda: come_back(world, copy))
+    world.clock.after(fault.seconds, lambda: restore_after_outage(world, copy))
 
 
 def restore_unheard(world: World, fault: Fault) -> None:
     """The same while a zone's reader is cut off, which hears of it later."""
     host = pick_reader(world)
-    world.store.cut_off(host.host_id)
+    world.store.partition(host.host_id)
     host.disturbed_at = world.clock.now
     restore_store(world, fault)
-    away = 2.0 * fault.seconds + MOMENT[1]
-    world.clock.after(away, lambda: heal_host(world, host))
+    away = 2.0 * fault.seconds + OUTAGE_SECONDS[1]
+    world.clock.after(away, lambda: reconnect_host(world, host))
 
 
 def restore_drain(world: World, fault: Fault) -> None:
     """The store loses that a zone is drained, and then that it may be used again."""
     zone = world.clock.rng.choice(ZONES)
-    before = copy_of(world.store)
+    before = take_backup(world.store)
     world.drain_zone(zone)
-    world.clock.after(0.5, lambda: come_back(world, before))
+    world.clock.after(0.5, lambda: restore_after_outage(world, before))
     world.clock.after(4.0, lambda: lose_end_of_drain(world, zone))
 
 
 def lose_end_of_drain(world: World, zone: str) -> None:
     """Operators use a zone again; the store comes back from before that."""
-    copy = copy_of(world.store)
+    copy = take_backup(world.store)
     world.end_drain(zone)
-    world.clock.after(0.5, lambda: come_back(world, copy))
+    world.clock.after(0.5, lambda: restore_after_outage(world, copy))
 
 
 #: The same, and a store that comes back from an older copy.
-RESTORE_KINDS: dict[str, Befall] = {
+RESTORE_KINDS: dict[str, FaultAction] = {
     **ZONE_KINDS,
     "restore-drain": restore_drain,
     "restore-store": restore_store,
--- a/citronspring/emulator/routers.py
+++ b/citronspring/emulator/routers.py
@@ -18,7 +18,7 @@
 
 #: Seconds between two questions for readiness; two misses take a host out.
 PROBE_SECONDS = 0.5
-MISSES = 2
+UNHEALTHY_THRESHOLD = 2
 
 
 @dataclass(slots=True)
@@ -33,14 +33,14 @@
     def probe(self) -> None:
         """Ask every host whether it is ready, twice a second."""
         for host in self.hosts:
-            ready = host.answers_ready()
+            ready = host.passes_readiness_probe()
             missed = self.misses.get(host.host_id, 0) + 1
             self.misses[host.host_id] = 0 if ready else missed
         self.clock.after(PROBE_SECONDS, self.probe)
 
     def in_rotation(self, host: EmulatedHost) -> bool:
         """Whether packets are sent to a host."""
-        return self.misses.get(host.host_id, 0) < MISSES
+        return self.misses.get(host.host_id, 0) < UNHEALTHY_THRESHOLD
 
     def candidates(self, zone: str) -> list[EmulatedHost]:
         """Return the hosts that a zone's packets are spread over."""
@@ -56,4 +56,6 @@
         if not hosts:
             return
         host = max(hosts, key=lambda one: xxh64_intdigest(packet.flow, one.seed))
-        self.network.send(CALLERS, host.zone, lambda: host.take(packet, caller))
+        self.network.send(
+            CALLERS, host.zone, lambda: host.receive_packet(packet, caller)
+        )
--- a/citronspring/emulator/run.py
+++ b/citronspring/emulator/run.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from citronspring.emulator.checker import Resets
-from citronspring.emulator.faults import KINDS, Befall, Fault, draw_faults
-from citronspring.emulator.world import LEAD, Sizes, World
+from citronspring.emulator.faults import KINDS, Fault, FaultAction, schedule_faults
+from citronspring.emulator.world import TRAFFIC_START, Sizes, World
 
 if TYPE_CHECKING:
     from citronspring.emulator.callers import Request
@@ -18,7 +18,7 @@
 RECOVERY_WINDOW = 2.0
 
 #: Share of requests that must be served in that window.
-RECOVERED = 0.9
+MIN_SERVED_SHARE = 0.9
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,15 +31,15 @@
     served: int
     in_time: int
     #: Most over mean requests of the targets of a service that lived throughout.
-    busiest: float
+    imbalance: float
     store_calls: int
-    broken: list[str]
+    violations: list[str]
     #: By second of traffic: requests started, and of these in time.
     seconds: list[tuple[int, int]] = field(default_factory=list)
     #: Resets that hosts sent on open flows, by whether the target held the flow.
     resets: Resets = field(default_factory=Resets)
     #: Most openings within a second at a cold target while others were warm.
-    cold_openings: int = 0
+    max_warmup_openings: int = 0
 
     @property
     def faults_text(self) -> str:
@@ -47,12 +47,12 @@
         return ", ".join(f"{fault.kind}@{fault.at:.1f}" for fault in self.faults)
 
 
-def play(
+def run_seed(
     seed: int,
     sizes: Sizes | None = None,
     *,
     calm: bool = False,
-    kinds: dict[str, Befall] = KINDS,
+    kinds: dict[str, FaultAction] = KINDS,
     load: Load | None = None,
 ) -> Outcome:
     """Play one run.
@@ -73,33 +73,33 @@
     world = World.from_seed(seed, sizes or Sizes())
     if load is not None:
         load(world)
-    faults = [] if calm else draw_faults(world, kinds)
+    faults = [] if calm else schedule_faults(world, kinds)
     world.run()
     requests = world.checker.requests
     served = [one for one in requests if one.answered_at is not None]
-    broken = list(world.checker.broken)
-    broken += judge_recovery(world, requests)
+    broken = list(world.checker.violations)
+    broken += check_recovery(world, requests)
     return Outcome(
         seed,
         faults,
         len(requests),
         len(served),
         sum(world.in_time(one) for one in served),
-        busiest_over_mean(world),
+        measure_imbalance(world),
         world.store.calls,
         broken,
         by_second(world, requests),
         world.checker.resets,
-        world.checker.zone_judge.most_cold_openings,
+        world.checker.zone_checker.max_warmup_openings,
     )
 
 
-def judge_recovery(world: World, requests: list[Request]) -> list[str]:
+def check_recovery(world: World, requests: list[Request]) -> list[str]:
     """Return what is broken if callers are not served again at the end."""
-    end = LEAD + world.sizes.seconds
+    end = TRAFFIC_START + world.sizes.seconds
     last = [one for one in requests if end - RECOVERY_WINDOW <= one.started_at < end]
     served = sum(one.answered_at is not None for one in last)
-    if served >= RECOVERED * len(last):
+    if served >= MIN_SERVED_SHARE * len(last):
         return []
     return [f"recovery: {served} of the last {len(last)} requests were served"]
 
@@ -108,13 +108,13 @@
     """Return requests started, and in time, for each second of traffic."""
     seconds = [[0, 0] for _ in range(int(world.sizes.seconds) + 4)]
     for request in requests:
-        row = seconds[int(request.started_at - LEAD)]
+        row = seconds[int(request.started_at - TRAFFIC_START)]
         row[0] += 1
         row[1] += world.in_time(request)
     return [(started, in_time) for started, in_time in seconds]
 
 
-def busiest_over_mean(world: World) -> float:
+def measure_imbalance(world: World) -> float:
     """Return the imbalance of the larger service."""
     counts = [
         target.served
--- a/citronspring/emulator/store.py
+++ b/citronspring/emulator/store.py
@@ -56,23 +56,23 @@
 PAGE_SIZE = 4
 
 #: Seconds for which a watch hears nothing before history is lost.
-DEAF_SECONDS = 1.0
+SUPPRESSED_SECONDS = 1.0
 
 CONFIGURATION_KEY = "configuration"
-BUSY = 503
+SERVICE_UNAVAILABLE = 503
 
 
-class Trouble(Enum):
+class Outage(Enum):
     """What the store does instead of serving."""
 
     #: It takes calls and never answers.
-    SILENT = "silent"
+    UNRESPONSIVE = "silent"
     #: It refuses each call at once.
     BUSY = "busy"
 
 
 @dataclass(slots=True)
-class Waiting:
+class PendingWatch:
     """A watch that waits for news."""
 
     after: int
@@ -102,15 +102,15 @@
     leases: dict[int, Lease] = field(default_factory=dict)
     last_lease: int = 0
     #: Changes at or below this revision are no longer known.
-    forgotten: int = 0
-    waiting: list[Waiting] = field(default_factory=list)
-    trouble: Trouble | None = None
+    compacted_revision: int = 0
+    watches: list[PendingWatch] = field(default_factory=list)
+    outage: Outage | None = None
     #: Hosts that the trouble is for; empty for all.
-    troubled: frozenset[str] = frozenset()
+    outage_hosts: frozenset[str] = frozenset()
     #: Hosts whose calls do not arrive. That is a trouble of theirs, not of the store.
-    cut_hosts: set[str] = field(default_factory=set)
+    partitioned_hosts: set[str] = field(default_factory=set)
     #: While set, watches hear of no change.
-    deaf: bool = False
+    watches_suppressed: bool = False
     slowness: float = 1.0
     disturbed_at: float = -100.0
     #: Calls, and renewals of leases beside them.
@@ -156,16 +156,16 @@
     def record(self, change: Change) -> None:
         """Note a change and tell the watches."""
         self.changes.append((self.revision, change))
-        if not self.deaf:
-            self.tell_watches()
+        if not self.watches_suppressed:
+            self.notify_watches()
 
-    def tell_watches(self) -> None:
+    def notify_watches(self) -> None:
         """Answer the watches that have news."""
-        for watch in list(self.waiting):
+        for watch in list(self.watches):
             changes = self.changes_above(watch.after)
             if changes:
-                self.waiting.remove(watch)
-                watch.answer(self.news(changes))
+                self.watches.remove(watch)
+                watch.answer(self.watch_answer(changes))
 
     # Leases ----------------------------------------------------------------------
 
@@ -180,13 +180,13 @@
             self.renewals += 1
         else:
             self.calls += 1
-        if self.turns_away(host_id):
-            if self.trouble is Trouble.BUSY and host_id not in self.cut_hosts:
-                self.later(answer, Refused(BUSY))
+        if self.is_unavailable_to(host_id):
+            if self.outage is Outage.BUSY and host_id not in self.partitioned_hosts:
+                self.answer_later(answer, Refused(SERVICE_UNAVAILABLE))
             return
-        self.later(answer, self.do_election(call))
+        self.answer_later(answer, self.handle_election(call))
 
-    def do_election(self, call: ElectionCall) -> ElectionAnswer:
+    def handle_election(self, call: ElectionCall) -> ElectionAnswer:
         """Do what a call asks for."""
         if isinstance(call, GrantLease):
             self.last_lease += 1
@@ -258,25 +258,25 @@
     ) -> None:
         """Take a call; ``answer`` is run when, and if, it is answered."""
         self.calls += 1
-        if self.turns_away(host_id):
-            if self.trouble is Trouble.BUSY and host_id not in self.cut_hosts:
-                self.later(answer, Refused(BUSY))
+        if self.is_unavailable_to(host_id):
+            if self.outage is Outage.BUSY and host_id not in self.partitioned_hosts:
+                self.answer_later(answer, Refused(SERVICE_UNAVAILABLE))
             return
         match call:
             case ListEntries():
-                self.later(answer, self.page(call.after_key))
+                self.answer_later(answer, self.page(call.after_key))
             case WatchEntries():
                 self.watch(host_id, call, answer)
 
-    def turns_away(self, host_id: str) -> bool:
+    def is_unavailable_to(self, host_id: str) -> bool:
         """Whether a host is not served."""
-        if host_id in self.cut_hosts:
+        if host_id in self.partitioned_hosts:
             return True
-        if self.trouble is None:
+        if self.outage is None:
             return False
-        return not self.troubled or host_id in self.troubled
+        return not self.outage_hosts or host_id in self.outage_hosts
 
-    def later(self, answer: Callable[[Any], None], found: object) -> None:
+    def answer_later(self, answer: Callable[[Any], None], found: object) -> None:
         """Give an answer after the time it takes."""
         self.clock.after(ANSWER_TIME * self.slowness, lambda: answer(found))
 
@@ -296,65 +296,65 @@
     ) -> None:
         """Answer a watch at once if there is news, else keep it."""
         after = ordered_revision(self.epoch, count_of(call.after_revision))
-        if after < self.forgotten or after > self.revision:
-            self.later(answer, HistoryLost(self.epoch))
+        if after < self.compacted_revision or after > self.revision:
+            self.answer_later(answer, HistoryLost(self.epoch))
             return
         changes = self.changes_above(after)
-        if changes and not self.deaf:
-            self.later(answer, self.news(changes))
+        if changes and not self.watches_suppressed:
+            self.answer_later(answer, self.watch_answer(changes))
             return
         deadline = self.clock.now + call.wait
-        watch = Waiting(after, answer, deadline, host_id)
-        self.waiting.append(watch)
+        watch = PendingWatch(after, answer, deadline, host_id)
+        self.watches.append(watch)
         self.clock.at(watch.deadline, lambda: self.end_watch(watch))
 
-    def end_watch(self, watch: Waiting) -> None:
+    def end_watch(self, watch: PendingWatch) -> None:
         """Answer a watch that has waited for its time."""
-        if watch in self.waiting:
-            self.waiting.remove(watch)
+        if watch in self.watches:
+            self.watches.remove(watch)
             watch.answer(Changes((), None, self.epoch))
 
     def changes_above(self, revision: int) -> list[tuple[int, Change]]:
         """Return the known changes above a revision."""
         return [change for change in self.changes if change[0] > revision]
 
-    def news(self, changes: list[tuple[int, Change]]) -> Changes:
+    def watch_answer(self, changes: list[tuple[int, Change]]) -> Changes:
         """Return changes as a watch tells them."""
         found = tuple(change for _, change in changes)
         return Changes(found, changes[-1][0], self.epoch)
 
     # Troubles --------------------------------------------------------------------
 
-    def begin_trouble(self, trouble: Trouble, hosts: frozenset[str]) -> None:
+    def begin_outage(self, trouble: Outage, hosts: frozenset[str]) -> None:
         """Stop serving some hosts, or all; watches that wait are swallowed."""
-        self.trouble, self.troubled = trouble, hosts
+        self.outage, self.outage_hosts = trouble, hosts
         self.disturbed_at = self.clock.now
-        self.waiting.clear()
+        self.watches.clear()
 
-    def end_trouble(self) -> None:
+    def end_outage(self) -> None:
         """Serve again."""
-        self.trouble = None
+        self.outage = None
         self.slowness = 1.0
         self.disturbed_at = self.clock.now
 
-    def cut_off(self, host_id: str) -> None:
+    def partition(self, host_id: str) -> None:
         """Have a host hear nothing; a watch of its that waits is swallowed."""
-        self.cut_hosts.add(host_id)
-        self.waiting = [one for one in self.waiting if one.host_id != host_id]
+        self.partitioned_hosts.add(host_id)
+        self.watches = [one for one in self.watches if one.host_id != host_id]
 
     def lose_history(self) -> None:
         """Have watches hear nothing for a while, then forget and cut them."""
-        self.deaf = True
+        self.watches_suppressed = True
         self.disturbed_at = self.clock.now
-        self.clock.after(DEAF_SECONDS, self.forget)
+        self.clock.after(SUPPRESSED_SECONDS, self.compact_history)
 
-    def forget(self) -> None:
+    def compact_history(self) -> None:
         """Forget all changes and cut every watch."""
-        self.deaf = False
+        self.watches_suppressed = False
         self.disturbed_at = self.clock.now
-        self.forgotten = self.revision
+        self.compacted_revision = self.revision
         self.changes.clear()
-        cut, self.waiting = self.waiting, []
+        cut, self.watches = self.watches, []
         for watch in cut:
             watch.answer(HistoryLost(self.epoch))
 
--- a/citronspring/emulator/targets.py
+++ b/citronspring/emulator/targets.py
@@ -19,10 +19,10 @@
     from citronspring.tokens.entities import Packet
 
 #: Requests that wait for a slot; a target with as many takes no further flow.
-QUEUE = 8
+MAX_QUEUED_REQUESTS = 8
 
 #: Seconds after which a target that sheds load says that it has not run a request.
-SHED_SECONDS = 0.1
+SHED_DELAY = 0.1
 
 #: Bytes of such an answer.
 SHED_BYTES = 100
@@ -31,12 +31,12 @@
 ANSWER_BYTES = 900
 
 #: How much longer a request takes at a target that has just started.
-COLD_SLOWNESS = 1.6
+WARMUP_SLOWNESS = 1.6
 
 #: Seconds after which an answer that is not acknowledged is sent again, at most so
 #: many times.
-RESEND_SECONDS = 0.2
-MOST_RESENDS = 8
+RETRANSMIT_SECONDS = 0.2
+MAX_RETRANSMISSIONS = 8
 
 SEQ_MASK = 0xFFFFFFFF
 
@@ -82,7 +82,7 @@
     service: str
     zone: str
     slots: int = 2
-    work: float = 0.03
+    mean_work_seconds: float = 0.03
     slowness: float = 1.0
     alive: bool = True
     leaving_at: float | None = None
@@ -94,9 +94,9 @@
     #: Whether it takes flows while its queue is full, and turns requests away then.
     sheds: bool = False
     #: Time until which it works slower after its start.
-    cold_until: float = -math.inf
+    warmup_until: float = -math.inf
     #: Entries that it has written.
-    statements: int = 0
+    entry_sequence: int = 0
 
     @property
     def target_id(self) -> str:
@@ -105,7 +105,7 @@
 
     def entry(self) -> Target:
         """Return what it registers next."""
-        self.statements += 1
+        self.entry_sequence += 1
         return Target(
             self.target_id,
             self.incarnation,
@@ -116,9 +116,9 @@
             self.zone,
             self.slots,
             self.leaving_at is not None,
-            max(self.cold_until - self.clock.now, 0.0),
+            max(self.warmup_until - self.clock.now, 0.0),
             0,
-            sequence=self.statements,
+            sequence=self.entry_sequence,
         )
 
     def crash(self) -> None:
@@ -134,19 +134,19 @@
             return
         flow = self.flows.get(packet.flow)
         if packet.flags & SYN:
-            self.take_opening(packet, flow, caller)
+            self.handle_opening(packet, flow, caller)
         elif flow is None:
             self.reply(caller, Reply(packet.flow, RST, packet.ack, 0, 0))
         else:
-            self.take_later(packet, flow)
+            self.handle_flow_packet(packet, flow)
 
-    def take_opening(
+    def handle_opening(
         self, packet: Packet, flow: TargetFlow | None, caller: EmulatedCaller
     ) -> None:
         """Answer an opening, unless the queue is full."""
-        self.checker.zone_judge.opening_taken(self)
+        self.checker.zone_checker.opening_received(self)
         if flow is None or flow.first_seq != packet.seq:
-            if len(self.queue) >= QUEUE and not self.sheds:
+            if len(self.queue) >= MAX_QUEUED_REQUESTS and not self.sheds:
                 return
             own_seq = self.clock.rng.getrandbits(32)
             next_seq = packet.seq + 1 & SEQ_MASK
@@ -156,7 +156,7 @@
         reply = Reply(packet.flow, SYN | ACK, flow.own_seq, flow.next_seq, flow.token)
         self.reply(caller, reply)
 
-    def take_later(self, packet: Packet, flow: TargetFlow) -> None:
+    def handle_flow_packet(self, packet: Packet, flow: TargetFlow) -> None:
         """Take a packet of a flow that is known here."""
         # Either end returns the last token that it received.
         flow.token = packet.token
@@ -181,8 +181,8 @@
 
     def enqueue(self, key: bytes, flow: TargetFlow) -> None:
         """Have a request wait for a slot."""
-        if self.sheds and len(self.queue) >= QUEUE:
-            self.clock.after(SHED_SECONDS, lambda: self.shed(key, flow))
+        if self.sheds and len(self.queue) >= MAX_QUEUED_REQUESTS:
+            self.clock.after(SHED_DELAY, lambda: self.shed(key, flow))
             return
         self.queue.append((key, flow))
         self.start_work()
@@ -206,12 +206,14 @@
             self.running += 1
             self.served += 1
             self.checker.request_ran(self, flow.caller)
-            seconds = self.clock.rng.expovariate(1 / self.work) * self.slowness
-            if self.clock.now < self.cold_until:
-                seconds *= COLD_SLOWNESS
-            self.clock.after(seconds, lambda k=key, f=flow: self.finish(k, f))
-
-    def finish(self, key: bytes, flow: TargetFlow) -> None:
+            seconds = (
+                self.clock.rng.expovariate(1 / self.mean_work_seconds) * self.slowness
+            )
+            if self.clock.now < self.warmup_until:
+                seconds *= WARMUP_SLOWNESS
+            self.clock.after(seconds, lambda k=key, f=flow: self.finish_request(k, f))
+
+    def finish_request(self, key: bytes, flow: TargetFlow) -> None:
         """Answer a request and start the next."""
         self.running -= 1
         if self.alive and self.flows.get(key) is flow:
@@ -222,14 +224,18 @@
 
     def send_answer(self, key: bytes, flow: TargetFlow, start: int, tries: int) -> None:
         """Send an answer, and again until it is acknowledged."""
-        if not self.alive or self.flows.get(key) is not flow or tries > MOST_RESENDS:
+        if (
+            not self.alive
+            or self.flows.get(key) is not flow
+            or tries > MAX_RETRANSMISSIONS
+        ):
             return
         if tries and 0 < (flow.acked - start) & SEQ_MASK < 1 << 31:
             return
         reply = Reply(key, ACK, start, flow.next_seq, flow.token, ANSWER_BYTES)
         self.reply(flow.caller, reply)
         self.clock.after(
-            RESEND_SECONDS * 2 ** min(tries, 3),
+            RETRANSMIT_SECONDS * 2 ** min(tries, 3),
             lambda: self.send_answer(key, flow, start, tries + 1),
         )
 
--- a/citronspring/emulator/world.py
+++ b/citronspring/emulator/world.py
@@ -23,29 +23,29 @@
     from citronspring.emulator.callers import Request
 
 ZONES = ("north", "south", "west")
-ADDRESS = 0xC6120001
-STREAMS = route_key(ADDRESS, 443)
-ORDERS = route_key(ADDRESS, 8443)
-UPLOADS = route_key(ADDRESS, 9443)
+SERVICE_ADDRESS = 0xC6120001
+STREAMS = route_key(SERVICE_ADDRESS, 443)
+ORDERS = route_key(SERVICE_ADDRESS, 8443)
+UPLOADS = route_key(SERVICE_ADDRESS, 9443)
 SERVICES = {STREAMS: "desk", ORDERS: "desk", UPLOADS: "archive"}
 
 #: Seconds before traffic in which hosts and targets come up.
-LEAD = 2.0
+TRAFFIC_START = 2.0
 
 #: Seconds until each kind of request is given up by its caller.
 DEADLINES = {STREAMS: 1.5, ORDERS: 2.0, UPLOADS: 3.0}
 
 #: Seconds within which an answer counts as in time.
-OBJECTIVE = 0.2
+LATENCY_OBJECTIVE = 0.2
 
 #: Hosts that all others know from their settings.
-SEEDS = 3
+SEED_HOSTS = 3
 
 #: Requests that one stream sends over its flow.
 STREAM_REQUESTS = 8
 
 #: Seconds that a leaving target serves on.
-DRAIN_SECONDS = 6.0
+LEAVE_SECONDS = 6.0
 
 
 @dataclass(slots=True)
@@ -71,7 +71,7 @@
     change_bound: float = CHANGE_BOUND
     settling: float = SETTLING
     #: Seconds for which a target that starts during traffic works slower.
-    cold_seconds: float = 0.0
+    warmup_seconds: float = 0.0
 
 
 @dataclass(slots=True)
@@ -92,7 +92,7 @@
     idle_routes: int = 0
     callers: int = 0
     #: How many times the usual callers there are now.
-    press: float = 1.0
+    load_factor: float = 1.0
 
     @classmethod
     def from_seed(cls, seed: int, sizes: Sizes) -> World:
@@ -113,10 +113,12 @@
                 world.add_host(f"{zone}-{number}", zone)
         world.routers.hosts = world.hosts
         for host in world.hosts:
-            host.peers = [other for other in world.hosts[:SEEDS] if other is not host]
+            host.peers = [
+                other for other in world.hosts[:SEED_HOSTS] if other is not host
+            ]
             host.fleet = {other.host_id: other for other in world.hosts}
         clock.after(0.1, world.routers.probe)
-        clock.at(LEAD, world.start_callers)
+        clock.at(TRAFFIC_START, world.start_callers)
         return world
 
     # Parts -----------------------------------------------------------------------
@@ -136,8 +138,8 @@
             times,
             self.targets,
         )
-        host.inward = Link(self.sizes.link_rate)
-        host.outward = Link(self.sizes.link_rate)
+        host.inbound_link = Link(self.sizes.link_rate)
+        host.outbound_link = Link(self.sizes.link_rate)
         host.download_rate = self.sizes.download_rate
         self.hosts.append(host)
         host.start()
@@ -149,27 +151,27 @@
             self.clock, self.network, self.checker, incarnation, service, zone
         )
         target.sheds = self.sizes.targets_shed
-        if self.clock.now > LEAD:
-            self.chill(target)
+        if self.clock.now > TRAFFIC_START:
+            self.begin_warmup(target)
         self.targets[incarnation] = target
         self.store.put_target(target.entry())
         return target
 
-    def chill(self, target: EmulatedTarget) -> None:
+    def begin_warmup(self, target: EmulatedTarget) -> None:
         """Have a target work slower for a while, as after a start."""
-        target.cold_until = self.clock.now + self.sizes.cold_seconds
+        target.warmup_until = self.clock.now + self.sizes.warmup_seconds
 
     def drain_zone(self, zone: str) -> None:
         """Have operators drain a zone."""
-        self.checker.zone_judge.drained_at.setdefault(zone, self.clock.now)
+        self.checker.zone_checker.drained_at.setdefault(zone, self.clock.now)
         self.store.put_drain(zone)
 
     def end_drain(self, zone: str) -> None:
         """Have operators use a zone again; its targets have gone cold meanwhile."""
-        self.checker.zone_judge.drained_at.pop(zone, None)
+        self.checker.zone_checker.drained_at.pop(zone, None)
         for target in self.targets.values():
-            if target.zone == zone and target.alive and self.sizes.cold_seconds:
-                self.chill(target)
+            if target.zone == zone and target.alive and self.sizes.warmup_seconds:
+                self.begin_warmup(target)
                 self.store.put_target(target.entry())
         self.store.end_drain(zone)
 
@@ -178,7 +180,7 @@
         self.add_target(target.service, target.zone)
         target.leaving_at = self.clock.now
         self.store.put_target(target.entry())
-        self.clock.after(DRAIN_SECONDS, lambda: self.end_target(target))
+        self.clock.after(LEAVE_SECONDS, lambda: self.end_target(target))
 
     def end_target(self, target: EmulatedTarget) -> None:
         """End a target whose entry goes with it."""
@@ -210,10 +212,10 @@
 
     def start_callers(self) -> None:
         """Have callers start at random times until traffic ends."""
-        if self.clock.now >= LEAD + self.sizes.seconds:
+        if self.clock.now >= TRAFFIC_START + self.sizes.seconds:
             return
         self.start_caller()
-        rate = self.press * self.sizes.callers_per_second
+        rate = self.load_factor * self.sizes.callers_per_second
         pause = self.clock.rng.expovariate(rate)
         self.clock.after(pause, self.start_callers)
 
@@ -239,18 +241,18 @@
 
     def run(self) -> None:
         """Play the run to its end, and the last answers."""
-        self.clock.run_until(LEAD + self.sizes.seconds + 3.0)
+        self.clock.run_until(TRAFFIC_START + self.sizes.seconds + 3.0)
 
     def in_time(self, request: Request) -> bool:
         """Whether a request was answered within the objective."""
         answered_at = request.answered_at
         return answered_at is not None and (
-            answered_at - request.started_at <= OBJECTIVE
+            answered_at - request.started_at <= LATENCY_OBJECTIVE
         )
 
 
 def idle_route(number: int) -> Route:
     """Return a route that sees no traffic."""
-    address, port = ADDRESS + 1 + number // 1000, 1 + number % 1000
+    address, port = SERVICE_ADDRESS + 1 + number // 1000, 1 + number % 1000
     shares = (Share("desk", 1.0),)
     return Route(f"idle-{number}", route_key(address, port), shares, True)
--- a/citronspring/experiments/checker.py
+++ b/citronspring/experiments/checker.py
@@ -26,28 +26,28 @@
     from citronspring.experiments.history import History
 
 #: Seconds from acceptance until a change is in force on every connected host.
-IN_FORCE_WITHIN = 4.0
+MAX_APPLY_SECONDS = 4.0
 
 #: Seconds after a drain was accepted from which the target gets no new work.
-DRAINED_WITHIN = 4.0
+MAX_DRAIN_SECONDS = 4.0
 
 #: Seconds until all hosts have noticed that one was killed.
-NOTICED_WITHIN = 6.0
+MAX_DETECTION_SECONDS = 6.0
 
 #: Seconds within which a caller has its answer to an opening that is refused.
-REFUSED_WITHIN = 6.0
+MAX_REFUSAL_SECONDS = 6.0
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
     """A promise that a run broke."""
 
-    promise: str
+    guarantee: str
     at: float
     detail: str
 
     def __str__(self) -> str:
-        return f"{self.promise} at {self.at:.2f}: {self.detail}"
+        return f"{self.guarantee} at {self.at:.2f}: {self.detail}"
 
 
 def whole_own_answers(history: History) -> list[Violation]:
@@ -91,9 +91,13 @@
         if entry.outcome is not Outcome.REFUSED:
             continue
         start = opened[entry.request_id]
-        late = entry.at - start > REFUSED_WITHIN
-        lost = disturbed(history, start, entry.at, ("zone-cut", "host-freeze"))
-        lost = lost or any(start - NOTICED_WITHIN < at < entry.at for at in ended)
+        late = entry.at - start > MAX_REFUSAL_SECONDS
+        lost = changes_were_delayed(
+            history, start, entry.at, ("zone-cut", "host-freeze")
+        )
+        lost = lost or any(
+            start - MAX_DETECTION_SECONDS < at < entry.at for at in ended
+        )
         if (late and not lost) or not entry.detail:
             detail = f"{entry.request_id} {entry.detail!r}"
             found.append(Violation("refused at once", entry.at, detail))
@@ -134,24 +138,28 @@
     found = []
     for entry in history.of(WorkAccepted):
         since = drained.get(entry.target_id)
-        if since is None or entry.at <= since + DRAINED_WITHIN:
+        if since is None or entry.at <= since + MAX_DRAIN_SECONDS:
             continue
-        if disturbed(history, since, entry.at, ("zone-cut", "platform-outage")):
+        if changes_were_delayed(
+            history, since, entry.at, ("zone-cut", "platform-outage")
+        ):
             continue
         found.append(Violation("leaving targets", entry.at, entry.target_id))
     return found
 
 
-def disturbed(
+def changes_were_delayed(
     history: History, start: float, end: float, kinds: tuple[str, ...]
 ) -> bool:
     """Whether changes could not spread at some time in an interval.
 
-    A disturbance still counts until `IN_FORCE_WITHIN` after its end: what it held
+    A disturbance still counts until `MAX_APPLY_SECONDS` after its end: what it held
     up needs that long to spread.
     """
     return any(
-        entry.kind in kinds and entry.at < end and entry.until + IN_FORCE_WITHIN > start
+        entry.kind in kinds
+        and entry.at < end
+        and entry.until + MAX_APPLY_SECONDS > start
         for entry in history.of(Disturbed)
     )
 
@@ -175,18 +183,18 @@
     """An accepted change is in force on every connected host within seconds."""
     found = []
     for change in history.of(ChangeAccepted):
-        due = change.at + IN_FORCE_WITHIN
-        for host_id in hosts_through(history, change.at, due):
+        due = change.at + MAX_APPLY_SECONDS
+        for host_id in hosts_running_throughout(history, change.at, due):
             if revision_at(history, host_id, due) >= change.revision:
                 continue
-            if kept_from_hearing(history, host_id, change.at, due):
+            if host_was_disturbed(history, host_id, change.at, due):
                 continue
             detail = f"{host_id} lacks {change.revision}"
             found.append(Violation("changes in force", due, detail))
     return found
 
 
-def hosts_through(history: History, start: float, end: float) -> set[str]:
+def hosts_running_throughout(history: History, start: float, end: float) -> set[str]:
     """Return the hosts that ran throughout an interval."""
     running: set[str] = set()
     for entry in history.of(HostStarted, HostEnded):
@@ -206,19 +214,21 @@
     return seen
 
 
-def kept_from_hearing(history: History, host_id: str, start: float, end: float) -> bool:
+def host_was_disturbed(
+    history: History, host_id: str, start: float, end: float
+) -> bool:
     """Whether a host was cut off or frozen at some time in an interval."""
     places = (host_id, history.zones[host_id], "")
     return any(
         entry.place in places
         and entry.at < end
-        and entry.until + IN_FORCE_WITHIN > start
+        and entry.until + MAX_APPLY_SECONDS > start
         for entry in history.of(Disturbed)
     )
 
 
 #: Every promise by name.
-PROMISES: dict[str, Callable[[History], list[Violation]]] = {
+GUARANTEES: dict[str, Callable[[History], list[Violation]]] = {
     "whole own answers": whole_own_answers,
     "unbroken flows": unbroken_flows,
     "not run means not run": not_run_means_not_run,
@@ -233,4 +243,4 @@
 
 def check(history: History) -> list[Violation]:
     """Return every violation of every promise."""
-    return [found for promise in PROMISES.values() for found in promise(history)]
+    return [found for promise in GUARANTEES.values() for found in promise(history)]
--- a/citronspring/experiments/coroutines.py
+++ b/citronspring/experiments/coroutines.py
@@ -18,32 +18,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pause:
+class Sleep:
     """Waits so many seconds of virtual time."""
 
     seconds: float
 
-    def __await__(self) -> Generator[Pause, None, None]:
+    def __await__(self) -> Generator[Sleep, None, None]:
         yield self
 
 
-async def pause(seconds: float) -> None:
+async def sleep(seconds: float) -> None:
     """Wait in virtual time; takes the place of a real sleep."""
-    await Pause(seconds)
+    await Sleep(seconds)
 
 
 @dataclass(slots=True)
-class Finished:
+class CoroutineResult:
     """How a coroutine ended: with a value, or with an error."""
 
     value: Any = None
     error: Exception | None = None
 
 
-def start(
+def start_coroutine(
     network: Network,
     coroutine: Coroutine[Any, None, Any],
-    done: Callable[[Finished], None],
+    done: Callable[[CoroutineResult], None],
 ) -> None:
     """Run a coroutine over virtual time and tell how it ended."""
 
@@ -51,9 +51,9 @@
         try:
             waited = coroutine.send(None)
         except StopIteration as end:
-            done(Finished(end.value))
+            done(CoroutineResult(end.value))
         except Exception as error:
-            done(Finished(error=error))
+            done(CoroutineResult(error=error))
         else:
             network.after(waited.seconds, step)
 
@@ -95,16 +95,16 @@
         self, method: Callable[..., Awaitable[Any]], *args: Any, **kwargs: Any
     ) -> Any:
         """Call a method of the platform; raises what its port raises."""
-        self.require()
-        await pause(self.delay())
-        self.require()
+        self.require_reachable()
+        await sleep(self.delay())
+        self.require_reachable()
         result = await method(*args, **kwargs)
-        await pause(self.delay())
+        await sleep(self.delay())
         if not self.reachable():
             raise OutcomeUnknownError("the answer was lost", "read before repeating")
         return result
 
-    def require(self) -> None:
+    def require_reachable(self) -> None:
         """Raise unless calls get through."""
         if not self.reachable():
             raise PlatformUnavailableError("no way to the platform", "try again")
--- a/citronspring/experiments/faults.py
+++ b/citronspring/experiments/faults.py
@@ -7,8 +7,8 @@
 from citronspring.configuration.changes import DrainTarget, PurgeTarget, PutAccount
 from citronspring.entities import Endpoint
 from citronspring.errors import MoveRefusedError
-from citronspring.experiments.checker import IN_FORCE_WITHIN
-from citronspring.experiments.coroutines import pause, start
+from citronspring.experiments.checker import MAX_APPLY_SECONDS
+from citronspring.experiments.coroutines import sleep, start_coroutine
 from citronspring.experiments.history import ChangeRefused, Disturbed
 from citronspring.experiments.scenario import FaultKind
 from citronspring.experiments.workload import account_of
@@ -35,13 +35,13 @@
 REPLACEMENT_TIME = 5.0
 
 #: Hosts that keep running whatever befalls the others.
-LEAST_HOSTS = 2
+MIN_HOSTS = 2
 
 #: Targets of an account that an operator leaves active.
-LEAST_TARGETS = 2
+MIN_TARGETS = 2
 
 #: Reads that answer with an old version.
-STALE_READS = 6
+STALE_READ_COUNT = 6
 
 #: Bytes that a rogue target puts into others' flows.
 ROGUE_BYTES = 100
@@ -56,13 +56,13 @@
 
 #: Seconds for which a platform is away before it comes back from an older copy, and
 #: until operators make the next change after that.
-AWAY = 0.5
+OUTAGE_SECONDS = 0.5
 
 #: Seconds between two tries of an operator who moves a server.
 MOVE_INTERVAL = 0.5
 
 #: Most targets an account grows to.
-MOST_TARGETS = 12
+MAX_TARGETS = 12
 
 
 def apply_fault(run: Run, fault: Fault) -> None:
@@ -87,16 +87,16 @@
         case FaultKind.OPERATOR_RACE:
             race_operators(run)
         case FaultKind.PLATFORM_OUTAGE:
-            outage(run, fault)
+            begin_outage(run, fault)
         case FaultKind.LOST_ANSWER:
             run.platform.switches.lost_answers += 1
             change_limits(run, run.rng.choice(sorted(ACCOUNT_SIZES)))
         case FaultKind.STALE_READ:
-            run.platform.switches.stale_reads += STALE_READS
+            run.platform.switches.stale_reads += STALE_READ_COUNT
             change_limits(run, run.rng.choice(sorted(ACCOUNT_SIZES)))
             kill_host(run)
         case FaultKind.ROGUE_TARGET:
-            answer_from_elsewhere(run)
+            inject_foreign_answers(run)
         case FaultKind.TARGET_MOVE:
             move_target(run)
         case FaultKind.LIMIT_CUT:
@@ -112,7 +112,7 @@
     running = [
         host_id for host_id in run.network.hosts if host_id not in run.network.frozen
     ]
-    if len(running) <= LEAST_HOSTS:
+    if len(running) <= MIN_HOSTS:
         return None
     return run.rng.choice(running)
 
@@ -128,7 +128,7 @@
 
 def join_host(run: Run) -> None:
     """Start a host that was not there before."""
-    host = run.describe_host(len(run.described))
+    host = run.define_host(len(run.defined_hosts))
     run.start_host(host.host_id)
 
 
@@ -140,10 +140,10 @@
     deadline = run.network.now + LEAVE_TIME
     run.network.give(host_id, LeaveRequested(deadline))
     if host_id in run.network.sprayed:
-        run.network.after(1.0, lambda: unspray(run, host_id))
+        run.network.after(1.0, lambda: remove_from_fabric(run, host_id))
 
 
-def unspray(run: Run, host_id: str) -> None:
+def remove_from_fabric(run: Run, host_id: str) -> None:
     """Let the fabric take a leaving host out."""
     if host_id in run.network.sprayed:
         run.network.sprayed.remove(host_id)
@@ -171,7 +171,7 @@
     """Have an operator drain a target."""
     account_id = run.rng.choice(sorted(ACCOUNT_SIZES))
     active = active_targets(run, account_id)
-    if len(active) <= LEAST_TARGETS:
+    if len(active) <= MIN_TARGETS:
         return
     target_id = run.rng.choice(active)
     run.drained.add(target_id)
@@ -185,7 +185,7 @@
 def add_target(run: Run) -> None:
     """Start a target and have an operator add it."""
     account_id = run.rng.choice(sorted(ACCOUNT_SIZES))
-    if run.next_number[account_id] < MOST_TARGETS:
+    if run.next_number[account_id] < MAX_TARGETS:
         run.add_target(account_id)
         change_limits(run, account_id)
 
@@ -234,7 +234,7 @@
     run.network.after(fault.until - fault.at, end)
 
 
-def answer_from_elsewhere(run: Run) -> None:
+def inject_foreign_answers(run: Run) -> None:
     """Have a target answer flows of another client account, in their numbers."""
     rogue = active_targets(run, "inzendloket")[0]
     for flow, connection in list(run.network.callers.connections.items()):
@@ -248,15 +248,17 @@
 def move_target(run: Run) -> None:
     """Have an operator move a server from one client account to the other."""
     active = active_targets(run, MOVES_FROM)
-    if len(active) <= LEAST_TARGETS:
+    if len(active) <= MIN_TARGETS:
         return
     target_id = run.rng.choice(active)
     run.drained.add(target_id)
     operator = run.make_operator(lambda: True)
-    start(run.network, move(run, operator, target_id), lambda finished: None)
+    start_coroutine(
+        run.network, move_server(run, operator, target_id), lambda finished: None
+    )
 
 
-async def move(run: Run, operator: Operator, target_id: str) -> None:
+async def move_server(run: Run, operator: Operator, target_id: str) -> None:
     """Move a server: unlist it, wait until it is empty, purge it, list it elsewhere.
 
     The operator gives up where the platform does; the refusals of the last step
@@ -267,43 +269,45 @@
     listed.remove(parameters)
     await operator.commit(put_account(run, operator, MOVES_FROM))
     # Until every host has heard, it may still get new flows.
-    await pause(IN_FORCE_WITHIN)
+    await sleep(MAX_APPLY_SECONDS)
     while run.network.targets[target_id].open_count:
-        await pause(MOVE_INTERVAL)
+        await sleep(MOVE_INTERVAL)
     purge = PurgeTarget(
         account_id=MOVES_FROM, target_id=target_id, **operator.identity()
     )
     await operator.commit(purge)
     moved = {**parameters, "target_id": f"{MOVES_TO}-from-{target_id}"}
     run.listed[MOVES_TO].append(moved)
-    while not await take_over(run, operator, moved):
-        await pause(MOVE_INTERVAL)
+    while not await list_moved_target(run, operator, moved):
+        await sleep(MOVE_INTERVAL)
 
 
-async def take_over(run: Run, operator: Operator, moved: Mapping[str, Any]) -> bool:
+async def list_moved_target(
+    run: Run, operator: Operator, moved: Mapping[str, Any]
+) -> bool:
     """List a server at its new account; return whether the zones let it pass."""
     change = put_account(run, operator, MOVES_TO)
     ip = Endpoint.from_text(moved["tunnel"]).ip
     # The change is in force a little before the operator hears of it.
-    run.servers[ip] = frozenset((MOVES_FROM, MOVES_TO))
+    run.server_accounts[ip] = frozenset((MOVES_FROM, MOVES_TO))
     try:
         await operator.commit(change)
     except MoveRefusedError as error:
-        run.servers[ip] = frozenset((MOVES_FROM,))
+        run.server_accounts[ip] = frozenset((MOVES_FROM,))
         entry = ChangeRefused(run.network.now, change.change_id, error.kind)
         run.history.add(entry)
         return False
-    run.servers[ip] = frozenset((MOVES_TO,))
+    run.server_accounts[ip] = frozenset((MOVES_TO,))
     stack = run.network.targets.pop(
         moved["target_id"].removeprefix(f"{MOVES_TO}-from-")
     )
     run.network.targets[moved["target_id"]] = stack
     run.network.zones[moved["target_id"]] = moved["zone"]
-    run.accepted[moved["target_id"]] = len(stack.accepted_at)
+    run.accepted_counts[moved["target_id"]] = len(stack.accepted_at)
     return True
 
 
-def outage(run: Run, fault: Fault) -> None:
+def begin_outage(run: Run, fault: Fault) -> None:
     """Take the platform away for a while."""
     now = run.network.now
     until = now + fault.until - fault.at
@@ -328,8 +332,11 @@
     change = put_account(run, operator, account_id)
     run.submit(change.change_id, operator.commit(change), None)
     now = run.network.now
-    away_at, until = fault.until - AWAY, max(fault.until, now + AWAY)
-    run.history.add(Disturbed(now, until + AWAY, fault.kind.value, ""))
+    away_at, until = (
+        fault.until - OUTAGE_SECONDS,
+        max(fault.until, now + OUTAGE_SECONDS),
+    )
+    run.history.add(Disturbed(now, until + OUTAGE_SECONDS, fault.kind.value, ""))
 
     def leave() -> None:
         run.platform.switches.outage = True
@@ -338,8 +345,8 @@
         run.platform.switches.outage = False
         run.platform.restore(copy)
         for store in reversed(run.stores):
-            start(run.network, store.read_snapshot(), lambda finished: None)
-        run.network.after(AWAY, lambda: change_limits(run, account_id))
+            start_coroutine(run.network, store.read_snapshot(), lambda finished: None)
+        run.network.after(OUTAGE_SECONDS, lambda: change_limits(run, account_id))
 
     run.network.after(max(0.0, away_at - now), leave)
     run.network.after(until - now, come_back)
--- a/citronspring/experiments/report.py
+++ b/citronspring/experiments/report.py
@@ -8,7 +8,7 @@
 
 from citronspring.experiments.checker import Violation, check
 from citronspring.experiments.run import Run
-from citronspring.experiments.scenario import PAIRED, FaultKind, Scenario
+from citronspring.experiments.scenario import PAIRED_KINDS, FaultKind, Scenario
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -37,7 +37,7 @@
     results: list[SeedResult] = field(default_factory=list)
 
     @property
-    def broken(self) -> list[SeedResult]:
+    def failed(self) -> list[SeedResult]:
         """Seeds that broke a promise."""
         return [result for result in self.results if result.violations]
 
@@ -57,7 +57,7 @@
                 frozenset((first, second))
                 for index, first in enumerate(kinds)
                 for second in kinds[index + 1 :]
-                if first in PAIRED and second in PAIRED
+                if first in PAIRED_KINDS and second in PAIRED_KINDS
             }
         return met
 
--- a/citronspring/experiments/run.py
+++ b/citronspring/experiments/run.py
@@ -14,7 +14,7 @@
 from citronspring.daemons.reader import zone_revision
 from citronspring.entities import Endpoint, Host
 from citronspring.errors import CitronspringError
-from citronspring.experiments.coroutines import DelayedPlatform, start
+from citronspring.experiments.coroutines import DelayedPlatform, start_coroutine
 from citronspring.experiments.faults import apply_fault
 from citronspring.experiments.history import (
     ChangeAccepted,
@@ -47,7 +47,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine, Mapping
 
-    from citronspring.experiments.coroutines import Finished
+    from citronspring.experiments.coroutines import CoroutineResult
     from citronspring.experiments.scenario import Scenario
     from citronspring.messages import Action
     from citronspring.standins.service import Request
@@ -59,7 +59,7 @@
 PLATFORM_DELAY = (0.001, 0.01)
 
 #: Seconds in which the last requests may end after the last fault.
-SETTLE = 45.0
+FINISH_TIMEOUT = 45.0
 
 #: Seconds after which the fabric has noticed that a host came or went.
 FABRIC_LAG = 1.5
@@ -82,13 +82,13 @@
     history: History = field(default_factory=History)
     workload: Workload = field(init=False)
     #: Every host ever described, by id.
-    described: dict[str, Host] = field(default_factory=dict)
+    defined_hosts: dict[str, Host] = field(default_factory=dict)
     #: Revision last seen of each running host.
     revisions: dict[str, int] = field(default_factory=dict)
     #: Connections each target had accepted when last looked at.
-    accepted: dict[str, int] = field(default_factory=dict)
+    accepted_counts: dict[str, int] = field(default_factory=dict)
     #: Version of the head that each reader's watch last answered with.
-    watched: dict[str, int] = field(default_factory=dict)
+    watched_versions: dict[str, int] = field(default_factory=dict)
     operators: int = 0
     #: What each operator's process knows of the configuration, newest last.
     stores: list[ConfigurationStore] = field(default_factory=list)
@@ -97,7 +97,7 @@
     #: Parameters of the targets that each client account lists.
     listed: dict[str, list[dict[str, Any]]] = field(default_factory=dict)
     #: Client accounts whose packets each server may get, by tunnel address.
-    servers: dict[str, frozenset[str]] = field(default_factory=dict)
+    server_accounts: dict[str, frozenset[str]] = field(default_factory=dict)
     #: Number of the next target of each client account.
     next_number: Counter[str] = field(default_factory=Counter)
     #: Revision that each reader last confirmed for its zone.
@@ -125,8 +125,8 @@
     def start(self) -> None:
         """Commit the configuration, then start targets and hosts."""
         operator = self.make_operator(lambda: True)
-        done: list[Finished] = []
-        start(self.network, operator.set_up(), done.append)
+        done: list[CoroutineResult] = []
+        start_coroutine(self.network, operator.set_up(), done.append)
         self.network.run_until(1.0)
         assert done and done[0].error is None, done
         for account_id, count in ACCOUNT_SIZES.items():
@@ -134,37 +134,37 @@
             for _ in range(count):
                 self.add_target(account_id)
         for index in range(self.scenario.hosts):
-            self.describe_host(index)
-        for host_id in list(self.described):
+            self.define_host(index)
+        for host_id in list(self.defined_hosts):
             self.start_host(host_id)
         self.watch()
 
-    def describe_host(self, index: int) -> Host:
+    def define_host(self, index: int) -> Host:
         """Describe a host that does not run yet."""
         ip = f"127.0.1.{index + 1}"
         sockets = [Endpoint(ip, port) for port in (6080, 6081, 6082)]
         zone = SYSTEM_ZONES[index % len(SYSTEM_ZONES)]
         host = Host(f"host-{index}", zone, "entry", *sockets)
-        self.described[host.host_id] = host
+        self.defined_hosts[host.host_id] = host
         self.history.zones[host.host_id] = zone
         return host
 
     def start_host(self, host_id: str) -> None:
         """Start a host process that knows its settings and nothing else."""
-        host = self.described[host_id]
-        peers = [peer for peer in self.described.values() if peer is not host]
+        host = self.defined_hosts[host_id]
+        peers = [peer for peer in self.defined_hosts.values() if peer is not host]
         boot = 1 + int(self.network.now * BOOT_STEP)
         core = Balancer.from_config(host, peers, incarnation=boot)
         self.network.stopped.discard(host_id)
         self.history.add(HostStarted(self.network.now, host_id))
         self.revisions[host_id] = 0
-        self.watched.pop(host_id, None)
+        self.watched_versions.pop(host_id, None)
         self.network.add_host(core)
         self.network.sprayed.remove(host_id)
-        self.network.after(FABRIC_LAG, lambda: self.spray_to(host_id))
+        self.network.after(FABRIC_LAG, lambda: self.add_to_fabric(host_id))
         self.read_platform(host_id, 0)
 
-    def spray_to(self, host_id: str) -> None:
+    def add_to_fabric(self, host_id: str) -> None:
         """Let the fabric notice a host."""
         if host_id in self.network.hosts and host_id not in self.network.sprayed:
             self.network.sprayed.append(host_id)
@@ -173,9 +173,9 @@
         """End a host process; the fabric notices later."""
         self.network.kill_host(host_id)
         self.history.add(HostEnded(self.network.now, host_id))
-        self.network.after(FABRIC_LAG, lambda: self.stop_spraying(host_id))
+        self.network.after(FABRIC_LAG, lambda: self.remove_from_fabric(host_id))
 
-    def stop_spraying(self, host_id: str) -> None:
+    def remove_from_fabric(self, host_id: str) -> None:
         """Let the fabric notice that a host is gone."""
         if host_id in self.network.sprayed and host_id not in self.network.hosts:
             self.network.sprayed.remove(host_id)
@@ -187,14 +187,14 @@
         parameters = target_parameters(account_id, number, SYSTEM_ZONES)
         target_id = parameters["target_id"]
         self.listed[account_id].append(parameters)
-        self.servers[tunnel_ip(parameters)] = frozenset((account_id,))
+        self.server_accounts[tunnel_ip(parameters)] = frozenset((account_id,))
 
         def on_run(request: Request) -> None:
             entry = RequestRan(self.network.now, request.request_id, target_id)
             self.history.add(entry)
 
         self.network.add_target(target_id, parameters["zone"], on_run)
-        self.accepted[target_id] = 0
+        self.accepted_counts[target_id] = 0
 
     # Operators and readers ----------------------------------------------------
 
@@ -218,7 +218,7 @@
     ) -> None:
         """Run an operator's commit and note what they are told."""
 
-        def done(finished: Finished) -> None:
+        def done(finished: CoroutineResult) -> None:
             now = self.network.now
             if finished.error is None:
                 revision = finished.value.revision
@@ -229,7 +229,7 @@
             else:
                 raise finished.error
 
-        start(self.network, commit, done)
+        start_coroutine(self.network, commit, done)
 
     def read_platform(self, host_id: str, revision: int) -> None:
         """Read what is newer than a revision, for a host that asks."""
@@ -240,13 +240,13 @@
 
         store = self.make_store(reachable)
 
-        def done(finished: Finished) -> None:
+        def done(finished: CoroutineResult) -> None:
             if finished.error is None and self.network.hosts.get(host_id) is core:
                 event = finished.value
                 self.network.arrive(host_id, lambda: self.network.give(host_id, event))
 
         asked_at = self.network.now
-        start(self.network, read_newer(store, revision, asked_at), done)
+        start_coroutine(self.network, read_newer(store, revision, asked_at), done)
 
     # Watching -----------------------------------------------------------------
 
@@ -259,7 +259,7 @@
         if row is None:
             return
         account_id = account_of(action.packet.flow)
-        if account_id not in self.servers[row.target.tunnel.ip]:
+        if account_id not in self.server_accounts[row.target.tunnel.ip]:
             entry = ForeignPacket(
                 self.network.now, account_id, action.target_id, host_id
             )
@@ -284,24 +284,25 @@
             self.watch_head(host_id, core)
             self.confirm_zone(host_id, core)
         for target_id, stack in self.network.targets.items():
-            for at in stack.accepted_at[self.accepted[target_id] :]:
+            for at in stack.accepted_at[self.accepted_counts[target_id] :]:
                 self.history.add(WorkAccepted(at, target_id))
-            self.accepted[target_id] = len(stack.accepted_at)
-        self.workload.note_ends()
+            self.accepted_counts[target_id] = len(stack.accepted_at)
+        self.workload.record_ends()
         self.network.after(WATCH_INTERVAL, self.watch)
 
     def watch_head(self, host_id: str, core: Balancer) -> None:
         """Answer a reader's watch once the head of the configuration changed."""
         version = self.platform.current_version(HEAD_KEY)
-        if not core.tables.replication.is_reader or version == self.watched.get(
-            host_id
+        if (
+            not core.tables.replication.is_reader
+            or version == self.watched_versions.get(host_id)
         ):
             return
         reachable = self.network.connected(host_id, PLATFORM)
         if host_id in self.network.frozen:
             return
         if reachable and not self.platform.switches.outage:
-            self.watched[host_id] = version
+            self.watched_versions[host_id] = version
             self.read_platform(host_id, core.tables.revision)
 
     def confirm_zone(self, host_id: str, core: Balancer) -> None:
@@ -316,11 +317,11 @@
             store = self.make_store(lambda: self.network.connected(host_id, PLATFORM))
             confirmation = store.confirm_zone(tables.zone, revision)
 
-            def done(finished: Finished) -> None:
+            def done(finished: CoroutineResult) -> None:
                 if finished.error is not None:
                     self.confirmed.pop(host_id, None)
 
-            start(self.network, confirmation, done)
+            start_coroutine(self.network, confirmation, done)
 
     def make_store(self, reachable: Callable[[], bool]) -> ConfigurationStore:
         """Return a store of one process, which knows nothing yet."""
@@ -342,10 +343,10 @@
     def finish(self, end: float) -> History:
         """Let traffic go on until its end, then wait for the last requests."""
         self.network.run_until(end)
-        limit = end + SETTLE
+        limit = end + FINISH_TIMEOUT
         while self.workload.unfinished and self.network.now < limit:
             self.network.run_until(self.network.now + 1.0)
-        self.workload.give_up()
+        self.workload.end_unfinished()
         return self.history
 
 
--- a/citronspring/experiments/scenario.py
+++ b/citronspring/experiments/scenario.py
@@ -31,7 +31,7 @@
 
 
 #: Faults of which every pair must meet in some run.
-PAIRED = (
+PAIRED_KINDS = (
     FaultKind.HOST_KILL,
     FaultKind.TARGET_DRAIN,
     FaultKind.CONFIG_CHANGE,
@@ -43,7 +43,7 @@
 
 #: Faults that a run gets besides, up to three of them. A return from an older copy is
 #: not drawn, so that seeds go on meaning what they did.
-BESIDES = tuple(
+EXTRA_KINDS = tuple(
     kind
     for kind in FaultKind
     if kind
@@ -56,17 +56,17 @@
 LIMIT_SHARE = 0.2
 
 #: Every unordered pair, a kind with itself included: anything may come twice.
-PAIRS = tuple(itertools.combinations_with_replacement(PAIRED, 2))
+PAIRS = tuple(itertools.combinations_with_replacement(PAIRED_KINDS, 2))
 
 #: Seconds that a fault with an end lasts at the least and at the most.
-SHORTEST_FAULT = 1.0
-LONGEST_FAULT = 6.0
+MIN_FAULT_SECONDS = 1.0
+MAX_FAULT_SECONDS = 6.0
 
 #: Seconds between the two faults of the pair at the most.
-PAIR_GAP = 2.0
+MAX_PAIR_GAP = 2.0
 
 #: Seconds at the start without faults, so that membership has formed.
-QUIET_START = 4.0
+FAULT_FREE_START = 4.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,17 +99,17 @@
         """Draw a run; the pair of faults is a function of the seed alone."""
         rng = random.Random(seed)
         first, second = PAIRS[seed % len(PAIRS)]
-        start = rng.uniform(QUIET_START, duration / 2)
-        kinds = [(start, first), (start + rng.uniform(0.0, PAIR_GAP), second)]
+        start = rng.uniform(FAULT_FREE_START, duration / 2)
+        kinds = [(start, first), (start + rng.uniform(0.0, MAX_PAIR_GAP), second)]
         for _ in range(rng.randint(0, 3)):
-            kind = rng.choice(BESIDES)
-            kinds.append((rng.uniform(QUIET_START, duration), kind))
+            kind = rng.choice(EXTRA_KINDS)
+            kinds.append((rng.uniform(FAULT_FREE_START, duration), kind))
         if rng.random() < MOVE_SHARE:
-            kinds.append((QUIET_START, FaultKind.TARGET_MOVE))
+            kinds.append((FAULT_FREE_START, FaultKind.TARGET_MOVE))
         if rng.random() < LIMIT_SHARE:
-            kinds.append((rng.uniform(QUIET_START, duration), FaultKind.LIMIT_CUT))
+            kinds.append((rng.uniform(FAULT_FREE_START, duration), FaultKind.LIMIT_CUT))
         faults = [
-            Fault(at, kind, at + rng.uniform(SHORTEST_FAULT, LONGEST_FAULT))
+            Fault(at, kind, at + rng.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS))
             for at, kind in sorted(kinds, key=lambda item: item[0])
         ]
         return cls(
--- a/citronspring/experiments/workload.py
+++ b/citronspring/experiments/workload.py
@@ -23,24 +23,24 @@
 FIRST_PORT = 1024
 
 #: Bytes of the shortest and the longest body, and bytes a second it goes at.
-SMALLEST = 200
-LARGEST = 16_000
-RATE = 2_000.0
+MIN_BODY_BYTES = 200
+MAX_BODY_BYTES = 16_000
+BODY_RATE = 2_000.0
 
 #: Place in a flow key of the last byte of the service address, which tells accounts.
-SERVICE_INDEX = 4
+SERVICE_BYTE = 4
 
 #: Share of requests that go in one datagram.
 DATAGRAM_SHARE = 0.2
 
 #: Share of requests that last through most of a run.
 LONG_SHARE = 0.1
-LONG_SIZE = 30_000
+LONG_BODY_BYTES = 30_000
 
 
 def account_of(flow: FlowKey) -> str:
     """Return the client account whose service address a flow has."""
-    return list(ACCOUNT_SIZES)[flow[SERVICE_INDEX] - 1]
+    return list(ACCOUNT_SIZES)[flow[SERVICE_BYTE] - 1]
 
 
 @dataclass(slots=True)
@@ -69,10 +69,10 @@
         account_id = self.rng.choice(sorted(self.addresses))
         number = len(self.opened)
         protocol = Protocol.TCP
-        request = self.draw_request(f"request-{number}")
+        request = self.random_request(f"request-{number}")
         if self.rng.random() < DATAGRAM_SHARE:
             protocol = Protocol.UDP
-            request = Request(request.request_id, RequestKind.CORRECTION, 1, RATE)
+            request = Request(request.request_id, RequestKind.CORRECTION, 1, BODY_RATE)
         flow = flow_key(
             protocol,
             self.addresses[account_id],
@@ -89,27 +89,27 @@
         else:
             self.network.call(flow, request)
 
-    def draw_request(self, request_id: str) -> Request:
+    def random_request(self, request_id: str) -> Request:
         """Return a request of some kind and length."""
         kind = self.rng.choice(list(RequestKind))
-        size = self.rng.randint(SMALLEST, LARGEST)
+        size = self.rng.randint(MIN_BODY_BYTES, MAX_BODY_BYTES)
         if self.rng.random() < LONG_SHARE:
-            size = LONG_SIZE
-        return Request(request_id, kind, size, RATE)
+            size = LONG_BODY_BYTES
+        return Request(request_id, kind, size, BODY_RATE)
 
-    def note_ends(self) -> None:
+    def record_ends(self) -> None:
         """Note the requests that ended since the last call."""
         for sessions in self.all_sessions():
             for flow, session in list(sessions.items()):
                 if session.outcome is not None and flow not in self.ended:
-                    self.note_end(sessions, flow, session.outcome)
+                    self.record_end(sessions, flow, session.outcome)
 
     def all_sessions(self) -> tuple[dict[FlowKey, CallerSession], ...]:
         """Return the sessions over TCP and those over datagrams."""
         network = self.network
         return network.callers.sessions, network.datagram_callers.sessions
 
-    def note_end(
+    def record_end(
         self,
         sessions: dict[FlowKey, CallerSession],
         flow: FlowKey,
@@ -129,10 +129,10 @@
         """Requests over TCP that have not ended."""
         return len(self.network.callers.sessions)
 
-    def give_up(self) -> None:
+    def end_unfinished(self) -> None:
         """Note connections that never ended as broken, and lost datagrams."""
         streams, datagrams = self.all_sessions()
         for flow in list(streams):
-            self.note_end(streams, flow, Outcome.BROKEN)
+            self.record_end(streams, flow, Outcome.BROKEN)
         for flow in list(datagrams):
-            self.note_end(datagrams, flow, Outcome.UNANSWERED)
+            self.record_end(datagrams, flow, Outcome.UNANSWERED)
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -31,7 +31,7 @@
     requests = soak.checker.requests
     served = sum(one.answered_at is not None for one in requests)
     line = f"seed {seed}: {served} of {len(requests)} served; {', '.join(soak.faults)}"
-    return seed, soak.broken, line
+    return seed, soak.violations, line
 
 
 def main(argv: list[str]) -> int:
--- a/soak/run.py
+++ b/soak/run.py
@@ -68,7 +68,7 @@
     revision: int = 0
     callers: int = 0
     faults: list[str] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     disturbed_at: float = 0.0
     seen: dict[tuple[str, int], int] = field(default_factory=dict)
     ready: set[str] = field(default_factory=set)
@@ -123,7 +123,7 @@
 
     def judge_reset(self, caller: EmulatedCaller, source: tuple[str, int]) -> None:
         """Judge a reset by what its flow's target knows."""
-        owner = self.checker.holds(caller.flow)
+        owner = self.checker.live_owner(caller.flow)
         if owner is None:
             return
         if not caller.idempotent:
@@ -169,7 +169,7 @@
     def register(self, target: EmulatedTarget) -> None:
         """Write a target's entry."""
         key = f"servers/{target.target_id}"
-        target.statements += 1
+        target.entry_sequence += 1
         entry = {
             "service": target.service,
             "addr": f"{loopback_net()}.2:{self.ports[target.incarnation]}",
@@ -178,7 +178,7 @@
             "concurrency": 2,
             "state": "ready" if target.leaving_at is None else "draining",
             "warmup_left_ms": 0,
-            "seq": target.statements,
+            "seq": target.entry_sequence,
         }
         self.store.put(key, entry)
 
@@ -240,7 +240,7 @@
 
     def break_promise(self, text: str) -> None:
         """Note a broken promise."""
-        self.broken.append(f"{self.clock.now:.2f} s {text}")
+        self.violations.append(f"{self.clock.now:.2f} s {text}")
 
     def look(self) -> None:
         """Ask every host for its state and judge it."""
@@ -354,4 +354,4 @@
     clock.at(LEAD + 2.0, lambda: draw_fault(soak, end - CALM_END - 6.0))
     clock.run_until(end + 2.0)
     soak.judge_end(end)
-    soak.broken += soak.checker.broken
+    soak.violations += soak.checker.violations
--- a/tests/test_emulator/test_drains.py
+++ b/tests/test_emulator/test_drains.py
@@ -6,59 +6,59 @@
 
 from citronspring.emulator.faults import ZONE_KINDS
 from citronspring.emulator.loads import (
-    drain_in_rush,
-    release_in_rush,
-    return_cold_in_rush,
-    scale_out_in_rush,
+    drain_in_burst,
+    release_in_burst,
+    return_cold_in_burst,
+    scale_out_in_burst,
 )
-from citronspring.emulator.run import play
-from citronspring.emulator.store import Trouble
+from citronspring.emulator.run import run_seed
+from citronspring.emulator.store import Outage
 from citronspring.emulator.world import Sizes, World
 from citronspring.tokens.evidence import is_avoided
 from citronspring.tokens.tables import Tables
 
 #: Runs in which targets that start are cold for two seconds.
-COLD = Sizes(cold_seconds=2.0)
+WARMUP = Sizes(warmup_seconds=2.0)
 
 #: A small fleet whose targets are half busy, and thirty-nine hosts of which each sees
 #: little.
-SMALL = Sizes(2, 6, 2, 150.0, 14.0, cold_seconds=2.0)
-FLEET = Sizes(13, 8, 2, 200.0, 14.0, cold_seconds=2.0)
-
-RUSHES = (
-    drain_in_rush,
-    release_in_rush,
-    return_cold_in_rush,
-    scale_out_in_rush,
+SMALL = Sizes(2, 6, 2, 150.0, 14.0, warmup_seconds=2.0)
+FLEET = Sizes(13, 8, 2, 200.0, 14.0, warmup_seconds=2.0)
+
+BURSTS = (
+    drain_in_burst,
+    release_in_burst,
+    return_cold_in_burst,
+    scale_out_in_burst,
 )
 
 #: Seeds that are tried for a mutant at most.
-MOST_SEEDS = 30
+MAX_SEEDS = 30
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_promises_hold_while_zones_are_drained(seed):
-    outcome = play(seed, COLD, kinds=ZONE_KINDS)
-    assert outcome.broken == [], outcome.faults_text
+def test_guarantees_hold_while_zones_are_drained(seed):
+    outcome = run_seed(seed, WARMUP, kinds=ZONE_KINDS)
+    assert outcome.violations == [], outcome.faults_text
 
 
 @pytest.mark.parametrize("sizes", [SMALL, FLEET], ids=["6 hosts", "39 hosts"])
-@pytest.mark.parametrize("rush", RUSHES, ids=lambda rush: rush.__name__)
-def test_cold_targets_rest_in_a_rush(rush, sizes):
+@pytest.mark.parametrize("rush", BURSTS, ids=lambda rush: rush.__name__)
+def test_targets_in_warmup_are_not_overloaded_in_a_burst(rush, sizes):
     """Three times the usual callers come, and a third of the targets are cold.
 
     The cold ones hold no flows, the others are full or seem silent. A weight of a
     little more than half a request gave one of them up to 132 openings in a second.
     """
-    outcome = play(1, sizes, calm=True, load=rush(3.0))
-    assert outcome.broken == []
+    outcome = run_seed(1, sizes, calm=True, load=rush(3.0))
+    assert outcome.violations == []
 
 
-def forget_drains(patch):
+def ignore_drains(patch):
     patch(Tables, "is_drained", lambda tables, zone: False)
 
 
-def end_drains_with_the_store(patch):
+def end_drains_on_store_outage(patch):
     def is_drained(tables, zone):
         drain = tables.zone_drains.get(zone)
         if drain is None or tables.reader.failures >= 3:
@@ -68,7 +68,7 @@
     patch(Tables, "is_drained", is_drained)
 
 
-def weigh_cold_targets(patch):
+def give_warmup_little_weight(patch):
     def choose(tables, service, tried, now):
         rows = tables.by_service.get(service, ())
         rows = [row for row in rows if not row.target.leaving]
@@ -83,37 +83,39 @@
     patch("citronspring.tokens.openings.choose_target", choose)
 
 
-def test_checker_notices_forgotten_drains(monkeypatch):
-    forget_drains(monkeypatch.setattr)
-    for seed in range(MOST_SEEDS):
-        broken = play(seed, COLD, kinds=ZONE_KINDS).broken
+def test_checker_detects_ignored_drains(monkeypatch):
+    ignore_drains(monkeypatch.setattr)
+    for seed in range(MAX_SEEDS):
+        broken = run_seed(seed, WARMUP, kinds=ZONE_KINDS).violations
         if any("drained zones rest" in line for line in broken):
             return
     raise AssertionError("no run shows that drains are forgotten")
 
 
-def store_away_in_a_drain():
+def run_store_outage_during_drain():
     """Play a run in which the store falls silent while a zone is drained."""
     world = World.from_seed(1, Sizes(seconds=16.0))
     world.clock.at(6.0, lambda: world.drain_zone("south"))
-    world.clock.at(8.0, lambda: world.store.begin_trouble(Trouble.SILENT, frozenset()))
-    world.clock.at(14.0, world.store.end_trouble)
+    world.clock.at(
+        8.0, lambda: world.store.begin_outage(Outage.UNRESPONSIVE, frozenset())
+    )
+    world.clock.at(14.0, world.store.end_outage)
     world.run()
-    return world.checker.broken
+    return world.checker.violations
 
 
-def test_hosts_go_on_draining_without_the_store(monkeypatch):
+def test_drain_lasts_through_a_store_outage(monkeypatch):
     """The store is away for long while a zone is drained.
 
     Hosts that took its silence for the end of the drain would place flows there again.
     """
-    assert store_away_in_a_drain() == []
-    end_drains_with_the_store(monkeypatch.setattr)
+    assert run_store_outage_during_drain() == []
+    end_drains_on_store_outage(monkeypatch.setattr)
     taken_back = "drains are not taken back"
-    assert any(taken_back in line for line in store_away_in_a_drain())
+    assert any(taken_back in line for line in run_store_outage_during_drain())
 
 
-def test_checker_notices_rushes_to_cold_targets(monkeypatch):
-    weigh_cold_targets(monkeypatch.setattr)
-    outcome = play(1, SMALL, calm=True, load=drain_in_rush(3.0))
-    assert any("cold targets rest" in line for line in outcome.broken)
+def test_checker_detects_overload_of_targets_in_warmup(monkeypatch):
+    give_warmup_little_weight(monkeypatch.setattr)
+    outcome = run_seed(1, SMALL, calm=True, load=drain_in_burst(3.0))
+    assert any("cold targets rest" in line for line in outcome.violations)
--- a/tests/test_emulator/test_large_configurations.py
+++ b/tests/test_emulator/test_large_configurations.py
@@ -8,7 +8,7 @@
 
 from citronspring.emulator.faults import LARGE_KINDS
 from citronspring.emulator.loads import change_configuration
-from citronspring.emulator.run import play
+from citronspring.emulator.run import run_seed
 from citronspring.emulator.world import Sizes
 from citronspring.tokens.messages import Unanswered
 
@@ -23,7 +23,7 @@
 )
 
 
-def test_configuration_that_takes_a_second_to_come_in_is_in_force_in_time():
+def test_configuration_that_downloads_for_a_second_is_applied_in_time():
     """An accepted change drops a route; 5 s later hosts still place openings on it.
 
     The configuration has grown to 700 KB, and 2 s later it changes again. Each host
@@ -33,11 +33,11 @@
     then 10.4 MB taken in by each in 24 s, and an age of 10.7 s on openings placed.
     """
     load = change_configuration(2800, gap=2.08, changes=2)
-    outcome = play(1, SMALL_LINKS, calm=True, load=load)
-    assert outcome.broken == []
+    outcome = run_seed(1, SMALL_LINKS, calm=True, load=load)
+    assert outcome.violations == []
 
 
-def test_many_versions_in_a_row_are_not_all_taken_in():
+def test_rapid_versions_are_not_all_downloaded():
     """Twenty changes of a configuration of 700 KB are accepted within two seconds.
 
     A watch brings each of them whole: after the first, nineteen, 13 MB, which keep a
@@ -45,8 +45,8 @@
     run, and heard of no target that left; a list holds only the newest.
     """
     load = change_configuration(2800, gap=0.1, changes=20)
-    outcome = play(1, SMALL_LINKS, calm=True, load=load)
-    assert outcome.broken == []
+    outcome = run_seed(1, SMALL_LINKS, calm=True, load=load)
+    assert outcome.violations == []
 
 
 #: In 163 a reader is cut off from the store and killed 2.8 s later; its followers had
@@ -55,34 +55,34 @@
 
 
 @pytest.mark.parametrize("seed", [*range(3000, 3012), *KEPT_SEEDS])
-def test_promises_hold_under_faults_while_configurations_are_large(seed):
+def test_guarantees_hold_under_faults_with_large_configurations(seed):
     """Readers are lost, the store is silent or slow, hosts start anew, all at 1 MB."""
-    outcome = play(seed, SMALL_LINKS, kinds=LARGE_KINDS)
-    assert outcome.broken == [], outcome.faults_text
+    outcome = run_seed(seed, SMALL_LINKS, kinds=LARGE_KINDS)
+    assert outcome.violations == [], outcome.faults_text
     assert outcome.served > 0.8 * outcome.requests
 
 
-def give_up_what_is_coming_in(patch):
+def time_out_during_download(patch):
     def expire(pending):
         pending.answer(Unanswered("no answer in time"))
 
-    patch("citronspring.emulator.hosts.Pending.expire", expire)
+    patch("citronspring.emulator.hosts.PendingCall.expire", expire)
 
 
-def take_every_watch(patch):
+def accept_any_answer_size(patch):
     patch("citronspring.tokens.balancer.largest_answer", lambda times, call: math.inf)
 
 
 @pytest.mark.parametrize(
     ("mutant", "load"),
     [
-        (give_up_what_is_coming_in, change_configuration(5600, gap=2.08, changes=2)),
-        (take_every_watch, change_configuration(2800, gap=0.1, changes=20)),
+        (time_out_during_download, change_configuration(5600, gap=2.08, changes=2)),
+        (accept_any_answer_size, change_configuration(2800, gap=0.1, changes=20)),
     ],
-    ids=["give_up_what_is_coming_in", "take_every_watch"],
+    ids=["time_out_during_download", "accept_any_answer_size"],
 )
-def test_checker_notices_hosts_that_never_take_it_in(mutant, load, monkeypatch):
-    assert play(1, SMALL_LINKS, calm=True, load=load).broken == []
+def test_checker_detects_hosts_that_never_apply_it(mutant, load, monkeypatch):
+    assert run_seed(1, SMALL_LINKS, calm=True, load=load).violations == []
     mutant(monkeypatch.setattr)
-    outcome = play(1, SMALL_LINKS, calm=True, load=load)
-    assert any("changes in force" in line for line in outcome.broken)
+    outcome = run_seed(1, SMALL_LINKS, calm=True, load=load)
+    assert any("changes in force" in line for line in outcome.violations)
--- a/tests/test_emulator/test_loads.py
+++ b/tests/test_emulator/test_loads.py
@@ -14,7 +14,7 @@
     cut_in_burst,
     slow_in_burst,
 )
-from citronspring.emulator.run import play
+from citronspring.emulator.run import run_seed
 from citronspring.emulator.world import Sizes
 
 #: Six hosts whose links of 160 kbit/s are full under six times the callers.
@@ -36,42 +36,42 @@
     Requests to all targets are sent again by their callers. Hosts that took that for
     the targets' silence reset 765 flows of targets that lived in sixteen such runs.
     """
-    outcome = play(seed, SMALL_LINKS, calm=True, load=burst(factor))
-    assert outcome.broken == []
-    assert outcome.resets.false == 0
+    outcome = run_seed(seed, SMALL_LINKS, calm=True, load=burst(factor))
+    assert outcome.violations == []
+    assert outcome.resets.unjustified == 0
 
 
-def test_runs_show_what_the_control_is_for(monkeypatch):
+def test_checker_detects_missing_local_path_check(monkeypatch):
     """Without the control, the checker sees living flows reset."""
     monkeypatch.setattr(
         "citronspring.tokens.evidence.local_path_works", lambda *a, **k: True
     )
     outcomes = [
-        play(seed, SMALL_LINKS, calm=True, load=burst(6.0)) for seed in BURST_SEEDS
+        run_seed(seed, SMALL_LINKS, calm=True, load=burst(6.0)) for seed in BURST_SEEDS
     ]
-    assert sum(outcome.resets.false for outcome in outcomes) > 50
+    assert sum(outcome.resets.unjustified for outcome in outcomes) > 50
 
 
 @pytest.mark.parametrize("load", [cut_in_burst(1.0), crash_in_burst(1.0)])
-def test_targets_that_are_lost_are_still_known(load, monkeypatch):
+def test_unreachable_targets_are_still_detected(load, monkeypatch):
     """A zone is cut off, or targets die: the control must not hide that.
 
     Callers of streams to them are told within a second to try elsewhere, nearly as
     often as if no control were asked for.
     """
-    outcomes = play_wide(load)
-    assert all(outcome.broken == [] for outcome in outcomes)
+    outcomes = run_wide_links(load)
+    assert all(outcome.violations == [] for outcome in outcomes)
     monkeypatch.setattr(
         "citronspring.tokens.evidence.local_path_works", lambda *a, **k: True
     )
-    uncontrolled = sum(outcome.resets.true for outcome in play_wide(load))
+    uncontrolled = sum(outcome.resets.justified for outcome in run_wide_links(load))
     assert uncontrolled > 0
-    assert sum(outcome.resets.true for outcome in outcomes) >= 0.9 * uncontrolled
+    assert sum(outcome.resets.justified for outcome in outcomes) >= 0.9 * uncontrolled
 
 
-def play_wide(load):
+def run_wide_links(load):
     """Play a load on wide links, some seeds."""
-    return [play(seed, WIDE_LINKS, calm=True, load=load) for seed in BURST_SEEDS]
+    return [run_seed(seed, WIDE_LINKS, calm=True, load=load) for seed in BURST_SEEDS]
 
 
 #: Few targets that turn requests away when they are full, and an objective of 0.2 s.
@@ -88,47 +88,47 @@
 LONG_OBJECTIVE = replace(FEW_TARGETS, objective=0.33)
 
 
-def in_time_while_pressed(load, sizes=FEW_TARGETS):
+def in_time_during_burst(load, sizes=FEW_TARGETS):
     """Return the requests that were in time during bursts, of some seeds."""
     first, last = int(BURST_AT), int(BURST_AT + BURST_SECONDS)
-    outcomes = [play(seed, sizes, calm=True, load=load) for seed in BURST_SEEDS]
-    assert all(outcome.broken == [] for outcome in outcomes)
+    outcomes = [run_seed(seed, sizes, calm=True, load=load) for seed in BURST_SEEDS]
+    assert all(outcome.violations == [] for outcome in outcomes)
     return sum(
         in_time for outcome in outcomes for _, in_time in outcome.seconds[first:last]
     )
 
 
-def let_all_in(monkeypatch):
+def admit_everything(monkeypatch):
     """Take admission away."""
     monkeypatch.setattr(
         "citronspring.tokens.openings.is_admitted", lambda *arguments: True
     )
 
 
-def test_refusals_keep_requests_in_time_when_callers_outrun_the_targets(monkeypatch):
+def test_refusals_keep_requests_in_time_under_overload(monkeypatch):
     """Six times the callers: more work than the targets can do.
 
     Queues are full, each request waits through one, and those turned away at its end
     come again. With a share of the openings refused at once, the others are in time.
     """
     load = burst(6.0)
-    admitted = in_time_while_pressed(load)
-    let_all_in(monkeypatch)
-    assert admitted >= 1.2 * in_time_while_pressed(load)
+    admitted = in_time_during_burst(load)
+    admit_everything(monkeypatch)
+    assert admitted >= 1.2 * in_time_during_burst(load)
 
 
-def test_words_of_full_targets_do_not_hide_the_queue(monkeypatch):
+def test_shedding_answers_do_not_hide_the_queue(monkeypatch):
     """Six times the callers, and an objective that is longer than any queue.
 
     Targets that are full say so after 0.1 s. Taken for answers these made requests seem
     quick, and openings went on to targets that turned them away.
     """
     load = burst(6.0)
-    told_apart = in_time_while_pressed(load, LONG_OBJECTIVE)
+    told_apart = in_time_during_burst(load, LONG_OBJECTIVE)
     monkeypatch.setattr(
         "citronspring.tokens.forwarding.note_answer_size", lambda *arguments: True
     )
-    assert told_apart >= 1.05 * in_time_while_pressed(load, LONG_OBJECTIVE)
+    assert told_apart >= 1.05 * in_time_during_burst(load, LONG_OBJECTIVE)
 
 
 def test_nobody_is_refused_while_targets_have_room(monkeypatch):
@@ -137,14 +137,14 @@
     Slow answers of the other third must not cost callers whom these would serve.
     """
     loads = (burst(2.0), slow_in_burst(1.2))
-    admitted = [in_time_while_pressed(load) for load in loads]
-    let_all_in(monkeypatch)
+    admitted = [in_time_during_burst(load) for load in loads]
+    admit_everything(monkeypatch)
     for load, in_time in zip(loads, admitted, strict=True):
-        assert in_time >= 0.97 * in_time_while_pressed(load)
+        assert in_time >= 0.97 * in_time_during_burst(load)
 
 
 def test_refusals_end_with_the_load():
     """A second after the burst everybody is let in again, and in time."""
-    outcome = play(1, FEW_TARGETS, calm=True, load=burst(6.0))
+    outcome = run_seed(1, FEW_TARGETS, calm=True, load=burst(6.0))
     for started, in_time in outcome.seconds[int(BURST_AT + BURST_SECONDS) + 1 : 16]:
         assert in_time >= 0.97 * started
--- a/tests/test_emulator/test_mutants.py
+++ b/tests/test_emulator/test_mutants.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from citronspring.emulator.run import play
-from citronspring.emulator.store import Trouble
+from citronspring.emulator.run import run_seed
+from citronspring.emulator.store import Outage
 from citronspring.emulator.world import Sizes, World
 from citronspring.tokens.messages import ResetReason
 
 #: Seeds that are tried for a mutant at most.
-MOST_SEEDS = 60
+MAX_SEEDS = 60
 
 
 def place_on_leaving_targets(patch):
@@ -28,21 +28,21 @@
     patch("citronspring.tokens.openings.choose_target", choose)
 
 
-def wait_for_ever(patch):
+def never_time_out(patch):
     def deadline(tables, call, now):
         return math.inf
 
     patch("citronspring.tokens.balancer.answer_deadline", deadline)
 
 
-def reset_after_one_repetition(patch):
+def reset_after_one_retransmission(patch):
     def unreachable(tables, flow, now):
         return flow.retransmissions >= 1
 
     patch("citronspring.tokens.forwarding.is_confirmed_unreachable", unreachable)
 
 
-def reset_on_silent_openings(patch):
+def reset_on_unanswered_openings(patch):
     def unreachable(tables, flow, now):
         return flow.target.timeouts >= 1
 
@@ -56,15 +56,15 @@
     patch("citronspring.tokens.forwarding.flow_reset_reason", flow_reset_reason)
 
 
-def take_missing_entries_for_gone(patch):
+def remove_missing_entries_at_once(patch):
     patch("citronspring.tokens.evidence.REMOVAL_GRACE", -1.0)
 
 
-def always_feel_current(patch):
+def always_assume_current(patch):
     patch("citronspring.tokens.balancer.is_current", lambda *arguments: True)
 
 
-def forget_pauses(patch):
+def ignore_stalls(patch):
     patch("citronspring.tokens.balancer.STALL_THRESHOLD", math.inf)
     patch("citronspring.tokens.openings.MAX_TIMER_DELAY", math.inf)
 
@@ -78,43 +78,45 @@
 
 MUTANTS = {
     place_on_leaving_targets: "leaving targets rest",
-    wait_for_ever: "changes in force",
-    reset_after_one_repetition: "flows stay",
-    reset_on_silent_openings: "flows stay",
+    never_time_out: "changes in force",
+    reset_after_one_retransmission: "flows stay",
+    reset_on_unanswered_openings: "flows stay",
     reset_orders: "orders are not reset",
-    take_missing_entries_for_gone: "flows stay",
-    forget_pauses: "flows stay",
+    remove_missing_entries_at_once: "flows stay",
+    ignore_stalls: "flows stay",
     ignore_lost_history: "changes in force",
 }
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.__name__)
-def test_checker_notices(mutant, monkeypatch):
+def test_checker_detects(mutant, monkeypatch):
     mutant(monkeypatch.setattr)
     promise = MUTANTS[mutant]
-    for seed in range(MOST_SEEDS):
-        if any(promise in line for line in play(seed).broken):
+    for seed in range(MAX_SEEDS):
+        if any(promise in line for line in run_seed(seed).violations):
             return
     raise AssertionError(f"no run shows that {promise!r} is broken")
 
 
-def hosts_fall_behind():
+def run_with_stale_hosts():
     """Play a run in which a removed route comes back while no host can read it."""
     world = World.from_seed(1, Sizes(seconds=20))
     for _ in range(2):
         world.clock.at(6.0, world.change_configuration)
-    world.clock.at(10.0, lambda: world.store.begin_trouble(Trouble.SILENT, frozenset()))
+    world.clock.at(
+        10.0, lambda: world.store.begin_outage(Outage.UNRESPONSIVE, frozenset())
+    )
     world.clock.at(10.5, world.change_configuration)
     world.run()
-    return [line for line in world.checker.broken if "refusals are true" in line]
+    return [line for line in world.checker.violations if "refusals are true" in line]
 
 
-def test_hosts_that_are_behind_refuse_no_route(monkeypatch):
+def test_stale_hosts_refuse_no_route(monkeypatch):
     """The store is away for long; an operator's newest route cannot be read.
 
     Hosts that took their old configuration for current would refuse callers that
     the newest one allows, and tell them for certain that there is no route.
     """
-    assert hosts_fall_behind() == []
-    always_feel_current(monkeypatch.setattr)
-    assert hosts_fall_behind() != []
+    assert run_with_stale_hosts() == []
+    always_assume_current(monkeypatch.setattr)
+    assert run_with_stale_hosts() != []
--- a/tests/test_emulator/test_readers.py
+++ b/tests/test_emulator/test_readers.py
@@ -11,7 +11,7 @@
 import pytest
 
 from citronspring.emulator.faults import READER_KINDS
-from citronspring.emulator.run import play
+from citronspring.emulator.run import run_seed
 from citronspring.emulator.world import Sizes
 from citronspring.tokens.change_feed import answer_poll, decode_feed
 from citronspring.tokens.messages import FeedAnswer, FollowReader
@@ -28,27 +28,27 @@
 SEEDS = (*range(2000, 2024), *KEPT_SEEDS)
 
 #: Seeds that are tried for a mutant at most.
-MOST_SEEDS = 40
+MAX_SEEDS = 40
 
 
-def play_readers(seed):
-    return play(seed, SIZES, kinds=READER_KINDS)
+def run_readers(seed):
+    return run_seed(seed, SIZES, kinds=READER_KINDS)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_when_readers_are_lost(seed):
-    outcome = play_readers(seed)
-    assert outcome.broken == [], outcome.faults_text
+def test_guarantees_hold_when_readers_are_lost(seed):
+    outcome = run_readers(seed)
+    assert outcome.violations == [], outcome.faults_text
     assert outcome.served > 0.8 * outcome.requests
 
 
-def calls_of_half_a_minute(hosts_per_zone):
+def store_calls_in_thirty_seconds(hosts_per_zone):
     """Return the calls to the store between the tenth and the fortieth second."""
     sizes = [
         Sizes(hosts_per_zone=hosts_per_zone, seconds=seconds, callers_per_second=2)
         for seconds in (10, 40)
     ]
-    begun, ended = (play(1, size, calm=True).store_calls for size in sizes)
+    begun, ended = (run_seed(1, size, calm=True).store_calls for size in sizes)
     return ended - begun
 
 
@@ -57,11 +57,11 @@
 
     With a watch of its own each would cost the store a call every two seconds.
     """
-    assert calls_of_half_a_minute(16) <= 1.1 * calls_of_half_a_minute(4)
-    assert calls_of_half_a_minute(4) <= 30 * 3
+    assert store_calls_in_thirty_seconds(16) <= 1.1 * store_calls_in_thirty_seconds(4)
+    assert store_calls_in_thirty_seconds(4) <= 30 * 3
 
 
-def wait_for_a_silent_reader(patch):
+def never_time_out_a_reader(patch):
     def deadline(tables, call, now):
         if isinstance(call, FollowReader):
             return math.inf
@@ -70,7 +70,7 @@
     patch("citronspring.tokens.balancer.answer_deadline", deadline)
 
 
-def vouch_for_old_knowledge(patch):
+def serve_stale_feed(patch):
     def answer(tables, times, poll, now):
         tables.reader.current_at = now
         failures, tables.reader.failures = tables.reader.failures, 0
@@ -81,7 +81,7 @@
     patch("citronspring.tokens.balancer.answer_poll", answer)
 
 
-def hand_nothing_on(patch):
+def omit_configuration_changes(patch):
     def decode(status, body):
         news = decode_feed(status, body)
         if isinstance(news, FeedAnswer):
@@ -94,12 +94,12 @@
 
 @pytest.mark.parametrize(
     "mutant",
-    [wait_for_a_silent_reader, vouch_for_old_knowledge, hand_nothing_on],
+    [never_time_out_a_reader, serve_stale_feed, omit_configuration_changes],
     ids=lambda mutant: mutant.__name__,
 )
-def test_checker_notices_a_zone_that_is_held_back(mutant, monkeypatch):
+def test_checker_detects_a_zone_that_lags(mutant, monkeypatch):
     mutant(monkeypatch.setattr)
-    for seed in range(MOST_SEEDS):
-        if any("changes in force" in line for line in play_readers(seed).broken):
+    for seed in range(MAX_SEEDS):
+        if any("changes in force" in line for line in run_readers(seed).violations):
             return
     raise AssertionError("no run shows a zone that is behind")
--- a/tests/test_emulator/test_restores.py
+++ b/tests/test_emulator/test_restores.py
@@ -5,10 +5,10 @@
 import pytest
 
 from citronspring.emulator.restore_faults import RESTORE_KINDS
-from citronspring.emulator.run import play
+from citronspring.emulator.run import run_seed
 from citronspring.emulator.world import Sizes
 
-SIZES = Sizes(hosts_per_zone=3, cold_seconds=2.0)
+SIZES = Sizes(hosts_per_zone=3, warmup_seconds=2.0)
 
 SEEDS = range(24)
 
@@ -25,35 +25,35 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_when_the_store_comes_back_from_an_older_copy(seed):
-    outcome = play(seed, SIZES, kinds=RESTORE_KINDS)
-    assert outcome.broken == [], outcome.faults_text
+def test_guarantees_hold_when_the_store_is_restored(seed):
+    outcome = run_seed(seed, SIZES, kinds=RESTORE_KINDS)
+    assert outcome.violations == [], outcome.faults_text
 
 
 @pytest.mark.parametrize("seed", (*SEEDS, *KEPT_SEEDS))
-def test_promises_hold_when_it_comes_back_again_and_again(seed):
-    outcome = play(seed, SIZES, kinds=ONLY_RESTORES)
-    assert outcome.broken == [], outcome.faults_text
+def test_guarantees_hold_when_the_store_is_restored_repeatedly(seed):
+    outcome = run_seed(seed, SIZES, kinds=ONLY_RESTORES)
+    assert outcome.violations == [], outcome.faults_text
     assert outcome.served > 0.8 * outcome.requests
 
 
-def read_no_epoch(patch):
+def ignore_epoch(patch):
     patch("citronspring.emulator.restores.ordered_revision", lambda epoch, count: count)
 
 
-def wait_for_no_operator(patch):
+def skip_operator_grace(patch):
     patch("citronspring.tokens.restore_grace.OPERATOR_REWRITE_GRACE", 0.0)
 
 
-def wait_for_no_target(patch):
+def skip_target_grace(patch):
     patch("citronspring.tokens.restore_grace.TARGET_REWRITE_GRACE", -1.0)
 
 
 #: Mutants, with the promise that is broken and seeds that show it.
 MUTANTS = [
-    (read_no_epoch, "leaving targets rest", (7, 45)),
-    (wait_for_no_operator, "refusals are true", (21, 52)),
-    (wait_for_no_target, "flows stay", (50,)),
+    (ignore_epoch, "leaving targets rest", (7, 45)),
+    (skip_operator_grace, "refusals are true", (21, 52)),
+    (skip_target_grace, "flows stay", (50,)),
 ]
 
 
@@ -62,7 +62,7 @@
     MUTANTS,
     ids=[mutant.__name__ for mutant, *_ in MUTANTS],
 )
-def test_checker_notices(mutant, promise, seeds, monkeypatch):
+def test_checker_detects(mutant, promise, seeds, monkeypatch):
     mutant(monkeypatch.setattr)
-    runs = [play(seed, SIZES, kinds=ONLY_RESTORES) for seed in seeds]
-    assert any(promise in line for run in runs for line in run.broken)
+    runs = [run_seed(seed, SIZES, kinds=ONLY_RESTORES) for seed in seeds]
+    assert any(promise in line for run in runs for line in run.violations)
--- a/tests/test_emulator/test_runs.py
+++ b/tests/test_emulator/test_runs.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from citronspring.emulator.run import play
+from citronspring.emulator.run import run_seed
 from citronspring.emulator.world import Sizes
 
 #: Seeds that once broke a promise, with what was wrong.
@@ -24,24 +24,24 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_under_faults(seed):
-    outcome = play(seed)
-    assert outcome.broken == [], outcome.faults_text
+def test_guarantees_hold_under_faults(seed):
+    outcome = run_seed(seed)
+    assert outcome.violations == [], outcome.faults_text
     assert outcome.served > 0.8 * outcome.requests
 
 
 def test_calm_run_serves_everything_in_time():
-    outcome = play(1, calm=True)
-    assert outcome.broken == []
+    outcome = run_seed(1, calm=True)
+    assert outcome.violations == []
     assert outcome.served >= 0.998 * outcome.requests
     assert outcome.in_time >= 0.99 * outcome.requests
 
 
 def test_same_seed_gives_the_same_run():
-    assert play(7) == play(7)
+    assert run_seed(7) == run_seed(7)
 
 
-def test_larger_fleet_stays_even():
+def test_larger_fleet_stays_balanced():
     """Twelve hosts place by their own counts alone; targets stay about even."""
     sizes = Sizes(hosts_per_zone=4, callers_per_second=50, seconds=20)
-    assert play(3, sizes, calm=True).busiest < 1.25
+    assert run_seed(3, sizes, calm=True).imbalance < 1.25
--- a/tests/test_experiments/mutants.py
+++ b/tests/test_experiments/mutants.py
@@ -22,7 +22,7 @@
 MUTANTS = {}
 
 
-def storm(seed):
+def cascading_failures(seed):
     """Return a run in which targets drain and their flows lose owner after owner."""
     drains = [(4.0 + 0.2 * step, FaultKind.TARGET_DRAIN) for step in range(4)]
     kills = [(6.0 + 0.8 * step, FaultKind.HOST_KILL) for step in range(8)]
@@ -30,7 +30,7 @@
     return Scenario(seed, 16.0, 6, 30.0, 0.02, 0.0, faults)
 
 
-def split(seed):
+def repeated_partitions(seed):
     """Return a run in which views differ all the time."""
     cuts = [(4.0 + 2.0 * step, FaultKind.ZONE_CUT) for step in range(5)]
     freezes = [(5.0 + 2.0 * step, FaultKind.HOST_FREEZE) for step in range(5)]
@@ -49,7 +49,7 @@
 
 
 @mutant("unbroken flows")
-def no_second_chance(patch):
+def no_flow_search(patch):
     """An owner that does not know a flow resets it."""
 
     def reset(tables, account, packet, now, actions, **kwargs):
@@ -70,8 +70,8 @@
     patch(flow_search, "reset_during_search", pass_on)
 
 
-@mutant("unbroken flows", storm)
-def leaving_targets_are_not_searched(patch):
+@mutant("unbroken flows", cascading_failures)
+def flow_search_skips_leaving_targets(patch):
     """A flow on a leaving target is not found once its owner is lost."""
     search = placement.possible_targets
 
@@ -82,8 +82,8 @@
     patch(flow_search, "possible_targets", only_active)
 
 
-@mutant("unbroken flows", split)
-def second_host_is_always_right(patch):
+@mutant("unbroken flows", repeated_partitions)
+def unverified_bindings_are_trusted(patch):
     """A binding by hearsay counts as proved, so its target's reset is passed on."""
 
     def believe(tables, row, packet, now, actions):
@@ -105,7 +105,7 @@
 
 
 @mutant("isolated accounts")
-def targets_of_every_account(patch):
+def placement_ignores_accounts(patch):
     """New flows are placed on any account's targets."""
 
     def window(flow, account, now):
@@ -124,7 +124,7 @@
 
 
 @mutant("isolated accounts")
-def addresses_move_unconfirmed(patch):
+def unconfirmed_moves_are_allowed(patch):
     """A server moves to another account before every zone has let it go.
 
     With the fence gone as well, a host that slept through the change wakes and
@@ -135,7 +135,7 @@
 
 
 @mutant("revisions never fall")
-def records_are_taken_as_they_come(patch):
+def records_are_applied_out_of_order(patch):
     """A record that was late or sent twice replaces a newer configuration."""
 
     def take(tables, records, now):
@@ -148,14 +148,14 @@
 
 
 @mutant("changes in force")
-def nothing_spreads(patch):
+def no_replication(patch):
     """Only the readers hear of changes."""
     patch(replication, "push", lambda tables, actions: None)
     patch(replication, "ask_for_records", lambda *arguments: None)
 
 
 @mutant("whole own answers")
-def any_answer_is_passed_on(patch):
+def answers_are_not_verified(patch):
     """Answers are not held against the flow's account and target."""
     receive = routing.receive_packet
 
@@ -168,7 +168,7 @@
     patch(balancer, "receive_packet", trust)
 
 
-def settle_by(patch, act):
+def handle_unanswered_datagrams_by(patch, act):
     """Have datagrams that are not answered soon handled by another function."""
     queue = []
     expire = openings.expire_openings
@@ -187,19 +187,19 @@
 
 
 @mutant("at most once")
-def datagrams_are_sent_again(patch):
+def unanswered_datagrams_are_retried(patch):
     """A datagram that is not answered soon goes to another target."""
-    settle_by(patch, openings.retry_opening)
+    handle_unanswered_datagrams_by(patch, openings.retry_opening)
 
 
 @mutant("not run means not run")
-def slow_datagrams_are_refused(patch):
+def unanswered_datagrams_are_refused(patch):
     """A datagram that is not answered soon is refused, though it may have run."""
-    settle_by(patch, openings.refuse_opening)
+    handle_unanswered_datagrams_by(patch, openings.refuse_opening)
 
 
 @mutant("refused at once")
-def refusals_are_held_back(patch):
+def refusals_are_delayed(patch):
     """A refusal goes out seven seconds late."""
     refuse = Network.refuse
 
--- a/tests/test_experiments/test_campaign.py
+++ b/tests/test_experiments/test_campaign.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("first", range(0, SEEDS, CHUNK))
-def test_every_promise_holds_under_faults(first):
+def test_every_guarantee_holds_under_faults(first):
     """Callers see whole answers or prompt refusals while faults come in pairs.
 
     Hosts die, freeze and join, zones are cut, the platform is out or stale or loses
@@ -22,19 +22,19 @@
     campaign = run_seeds(range(first, first + CHUNK))
     broken = {
         result.seed: [str(item) for item in result.violations]
-        for result in campaign.broken
+        for result in campaign.failed
     }
     assert broken == {}
     totals = campaign.totals()
     assert totals["requests whole"] > 0.8 * totals["RequestOpened"]
 
 
-def test_seeds_that_once_broke_a_promise_stay_whole():
+def test_regression_seeds_pass():
     campaign = run_seeds(KEPT_SEEDS)
-    assert [result.seed for result in campaign.broken] == []
+    assert [result.seed for result in campaign.failed] == []
 
 
-def test_every_pair_of_faults_meets_in_the_fixed_seeds():
+def test_fixed_seeds_cover_every_pair_of_faults():
     drawn = set()
     for seed in range(SEEDS):
         kinds = [fault.kind for fault in Scenario.from_seed(seed).faults]
@@ -42,7 +42,7 @@
     assert drawn == set(PAIRS)
 
 
-def test_a_seed_is_one_run():
+def test_seed_determines_the_run():
     first, second = (run_seeds([4]).results[0] for _ in range(2))
     assert first.counts == second.counts
     assert first.scenario == second.scenario
--- a/tests/test_experiments/test_machine.py
+++ b/tests/test_experiments/test_machine.py
@@ -33,7 +33,7 @@
         self.run.workload.arrive(self.end, ARRIVALS)
 
     @rule(kind=st.sampled_from(list(FaultKind)), lasting=st.floats(0.2, 6.0))
-    def befall(self, kind, lasting):
+    def inject_fault(self, kind, lasting):
         now = self.run.network.now
         apply_fault(self.run, Fault(now, kind, now + lasting))
 
--- a/tests/test_experiments/test_restores.py
+++ b/tests/test_experiments/test_restores.py
@@ -10,17 +10,17 @@
 from citronspring.experiments.scenario import Fault, FaultKind, Scenario
 
 #: Times of the returns, among the faults that a seed draws.
-RETURNS = ((5.0, 7.0), (9.0, 10.0), (12.0, 16.0))
+RESTORES = ((5.0, 7.0), (9.0, 10.0), (12.0, 16.0))
 
 
 def scenario(seed):
     drawn = Scenario.from_seed(seed)
-    returns = [Fault(at, FaultKind.PLATFORM_RESTORE, until) for at, until in RETURNS]
+    returns = [Fault(at, FaultKind.PLATFORM_RESTORE, until) for at, until in RESTORES]
     faults = sorted([*drawn.faults, *returns], key=lambda fault: fault.at)
     return replace(drawn, faults=tuple(faults))
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_promises_hold_when_the_platform_comes_back_from_an_older_copy(seed):
+def test_guarantees_hold_when_the_platform_is_restored(seed):
     """Accepted changes are lost; the next ones get revisions given out before."""
     assert [str(item) for item in run_scenario(scenario(seed)).violations] == []
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -28,7 +28,7 @@
 def verdict(seed, kinds=FAULTS):
     """Run a seed; return what was broken, the faults, and how much was tried."""
     soak = run_seed(seed, SECONDS, kinds)
-    return soak.broken, soak.faults, len(soak.checker.requests)
+    return soak.violations, soak.faults, len(soak.checker.requests)
 
 
 def test_promises_hold_for_real_processes():
