--- a/benchmarks/churn.py
+++ b/benchmarks/churn.py
@@ -108,7 +108,7 @@
         """Start a request, and arrange the next."""
         network = self.world.network
         flow = self.next_flow()
-        network.call(flow, self.next_request())
+        network.start_request(flow, self.next_request())
         gap = self.rng.expovariate(REQUESTS_PER_SECOND)
         if network.now + gap < self.duration:
             network.after(gap, self.arrive)
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -80,10 +80,10 @@
 
     wires: dict[str, Wire]
 
-    def perform_one(self, host_id: str, action: Action) -> None:
+    def perform_action(self, host_id: str, action: Action) -> None:
         """Put a control message on the wire; leave the rest as it is."""
         if not isinstance(action, SendControl):
-            super().perform_one(host_id, action)
+            super().perform_action(host_id, action)
             return
         wire = self.wires[host_id]
         now = EPOCH + int(self.now * 1000)
@@ -105,7 +105,7 @@
     def deliver(self, host_id: str, peer: str, message: object) -> None:
         """Carry one message."""
         event = ControlReceived(host_id, message)
-        self.carry(host_id, peer, lambda: self.give(peer, event))
+        self.transmit(host_id, peer, lambda: self.deliver_event(peer, event))
 
     def tick(self) -> None:
         """Tick every core and send what waited."""
@@ -133,7 +133,7 @@
         network = GossipNetwork(random.Random(seed), LinkQuality(loss=loss))
         network.wires = {}
         fleet = cls(network, size)
-        network.perform_other = fleet.perform
+        network.other_action_handler = fleet.perform
         for index in range(ACCOUNTS):
             account = make_account(index, 1)
             fleet.accounts[account.account_id] = account
@@ -190,7 +190,9 @@
         if known > 0:
             newer = range(known + 1, self.revision + 1)
             event = RecordsRead(tuple(self.records[revision] for revision in newer))
-        self.network.after(WATCH_DELAY, lambda: self.network.give(host_id, event))
+        self.network.after(
+            WATCH_DELAY, lambda: self.network.deliver_event(host_id, event)
+        )
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -188,13 +188,13 @@
         self.live[host.host_id] = host
         core = self.start_core(host)
         self.network.add_host(core)
-        self.network.sprayed.remove(host.host_id)
+        self.network.fabric_hosts.remove(host.host_id)
 
         def learn(peer: Balancer) -> None:
             peer.tables.hosts.setdefault(host.host_id, HostRow(host))
 
         self.tell_membership(learn)
-        spray = self.network.sprayed
+        spray = self.network.fabric_hosts
         self.network.after(FABRIC_LAG, lambda: spray.append(host.host_id))
 
     def leave_host(self) -> None:
@@ -217,8 +217,8 @@
 
     def stop_spraying(self, host_id: str) -> None:
         """Take a host from the fabric's list."""
-        if host_id in self.network.sprayed:
-            self.network.sprayed.remove(host_id)
+        if host_id in self.network.fabric_hosts:
+            self.network.fabric_hosts.remove(host_id)
 
     def add_target(self) -> None:
         """Configure one more target."""
--- a/citronspring/demonstration.py
+++ b/citronspring/demonstration.py
@@ -20,8 +20,8 @@
 from citronspring.standins.loopback import Loopback
 from citronspring.standins.memory import MemoryPlatform
 from citronspring.standins.platform import serve_platform
+from citronspring.standins.sample_configuration import SYSTEM_ZONES, Operator
 from citronspring.standins.service import Outcome, Request, RequestKind
-from citronspring.standins.system import SYSTEM_ZONES, Operator
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -223,7 +223,7 @@
         for session in self.sessions:
             outcome = session.outcome or Outcome.BROKEN
             report.outcomes[outcome.value] += 1
-        runs = Counter(request_id for request_id, _ in self.system.ran)
+        runs = Counter(request_id for request_id, _ in self.system.executed)
         report.run_twice = sum(count > 1 for count in runs.values())
         report.foreign = sum(item.foreign for item in self.system.targets.values())
         grace_end = self.drained_at + DRAIN_GRACE
@@ -279,8 +279,8 @@
     """Start fabric, callers, targets and hosts."""
     await system.start()
     await system.add_targets(snapshot)
-    sections = system.describe_hosts(HOSTS)
+    sections = system.make_host_sections(HOSTS)
     for section in sections:
-        settings = system.settings_of(section, sections, url)
+        settings = system.make_settings(section, sections, url)
         daemon = HostDaemon.from_settings(settings, store)
         await system.add_host(daemon)
--- a/citronspring/experiments/faults.py
+++ b/citronspring/experiments/faults.py
@@ -13,9 +13,9 @@
 from citronspring.experiments.scenario import FaultKind
 from citronspring.experiments.workload import account_of
 from citronspring.messages import LeaveRequested
-from citronspring.standins.system import (
-    ACCOUNT_SIZES,
+from citronspring.standins.sample_configuration import (
     SYSTEM_ZONES,
+    TARGETS_PER_ACCOUNT,
     account_parameters,
 )
 from citronspring.standins.tcp import Segment, State
@@ -26,7 +26,7 @@
 
     from citronspring.experiments.run import Run
     from citronspring.experiments.scenario import Fault
-    from citronspring.standins.system import Operator
+    from citronspring.standins.sample_configuration import Operator
 
 #: Seconds a leaving host serves what is in flight.
 LEAVE_TIME = 20.0
@@ -83,17 +83,17 @@
         case FaultKind.TARGET_SHED:
             shed_target(run, fault)
         case FaultKind.CONFIG_CHANGE:
-            change_limits(run, run.rng.choice(sorted(ACCOUNT_SIZES)))
+            change_limits(run, run.rng.choice(sorted(TARGETS_PER_ACCOUNT)))
         case FaultKind.OPERATOR_RACE:
             race_operators(run)
         case FaultKind.PLATFORM_OUTAGE:
             begin_outage(run, fault)
         case FaultKind.LOST_ANSWER:
             run.platform.switches.lost_answers += 1
-            change_limits(run, run.rng.choice(sorted(ACCOUNT_SIZES)))
+            change_limits(run, run.rng.choice(sorted(TARGETS_PER_ACCOUNT)))
         case FaultKind.STALE_READ:
             run.platform.switches.stale_reads += STALE_READ_COUNT
-            change_limits(run, run.rng.choice(sorted(ACCOUNT_SIZES)))
+            change_limits(run, run.rng.choice(sorted(TARGETS_PER_ACCOUNT)))
             kill_host(run)
         case FaultKind.ROGUE_TARGET:
             inject_foreign_answers(run)
@@ -138,15 +138,15 @@
     if host_id is None:
         return
     deadline = run.network.now + LEAVE_TIME
-    run.network.give(host_id, LeaveRequested(deadline))
-    if host_id in run.network.sprayed:
+    run.network.deliver_event(host_id, LeaveRequested(deadline))
+    if host_id in run.network.fabric_hosts:
         run.network.after(1.0, lambda: remove_from_fabric(run, host_id))
 
 
 def remove_from_fabric(run: Run, host_id: str) -> None:
     """Let the fabric take a leaving host out."""
-    if host_id in run.network.sprayed:
-        run.network.sprayed.remove(host_id)
+    if host_id in run.network.fabric_hosts:
+        run.network.fabric_hosts.remove(host_id)
 
 
 def freeze_host(run: Run, fault: Fault) -> None:
@@ -158,7 +158,7 @@
     until = now + fault.until - fault.at
     run.network.freeze(host_id)
     run.history.add(Disturbed(now, until, fault.kind.value, host_id))
-    run.network.after(until - now, lambda: run.network.wake(host_id))
+    run.network.after(until - now, lambda: run.network.unfreeze(host_id))
 
 
 def active_targets(run: Run, account_id: str) -> list[str]:
@@ -169,7 +169,7 @@
 
 def drain_target(run: Run) -> None:
     """Have an operator drain a target."""
-    account_id = run.rng.choice(sorted(ACCOUNT_SIZES))
+    account_id = run.rng.choice(sorted(TARGETS_PER_ACCOUNT))
     active = active_targets(run, account_id)
     if len(active) <= MIN_TARGETS:
         return
@@ -184,7 +184,7 @@
 
 def add_target(run: Run) -> None:
     """Start a target and have an operator add it."""
-    account_id = run.rng.choice(sorted(ACCOUNT_SIZES))
+    account_id = run.rng.choice(sorted(TARGETS_PER_ACCOUNT))
     if run.next_number[account_id] < MAX_TARGETS:
         run.add_target(account_id)
         change_limits(run, account_id)
@@ -218,7 +218,7 @@
 
 def race_operators(run: Run) -> None:
     """Have two operators change the same account at the same moment."""
-    account_id = run.rng.choice(sorted(ACCOUNT_SIZES))
+    account_id = run.rng.choice(sorted(TARGETS_PER_ACCOUNT))
     change_limits(run, account_id)
     change_limits(run, account_id)
 
@@ -242,7 +242,7 @@
             bytes_of_others = Segment(
                 ACK, connection.expected, connection.next_seq, b"x" * ROGUE_BYTES
             )
-            run.network.send_answers(rogue, [(flow, bytes_of_others)])
+            run.network.send_target_segments(rogue, [(flow, bytes_of_others)])
 
 
 def move_target(run: Run) -> None:
@@ -326,8 +326,8 @@
     Operators' processes remember what they have committed; one that starts then does
     not.
     """
-    copy = run.platform.copy()
-    account_id = run.rng.choice(sorted(ACCOUNT_SIZES))
+    copy = run.platform.backup()
+    account_id = run.rng.choice(sorted(TARGETS_PER_ACCOUNT))
     operator = run.make_operator(lambda: True)
     change = put_account(run, operator, account_id)
     run.submit(change.change_id, operator.commit(change), None)
@@ -359,6 +359,8 @@
     cuts = {frozenset((zone, other)) for other in others}
     now = run.network.now
     until = now + fault.until - fault.at
-    run.network.cuts |= cuts
+    run.network.partitions |= cuts
     run.history.add(Disturbed(now, until, fault.kind.value, zone))
-    run.network.after(until - now, lambda: run.network.cuts.difference_update(cuts))
+    run.network.after(
+        until - now, lambda: run.network.partitions.difference_update(cuts)
+    )
--- a/citronspring/experiments/run.py
+++ b/citronspring/experiments/run.py
@@ -36,10 +36,10 @@
 )
 from citronspring.standins.memory import MemoryPlatform
 from citronspring.standins.network import LinkQuality, Network
-from citronspring.standins.system import (
-    ACCOUNT_SIZES,
+from citronspring.standins.sample_configuration import (
     SERVICE_PORT,
     SYSTEM_ZONES,
+    TARGETS_PER_ACCOUNT,
     Operator,
     target_parameters,
 )
@@ -113,11 +113,11 @@
         run = cls(scenario, rng, network, MemoryPlatform())
         addresses = {
             account_id: f"192.0.2.{index + 1}"
-            for index, account_id in enumerate(ACCOUNT_SIZES)
+            for index, account_id in enumerate(TARGETS_PER_ACCOUNT)
         }
         run.workload = Workload(network, run.history, rng, addresses, SERVICE_PORT)
         network.observers.append(run.observe)
-        network.perform_other = run.perform
+        network.other_action_handler = run.perform
         return run
 
     # Setting up ---------------------------------------------------------------
@@ -129,7 +129,7 @@
         start_coroutine(self.network, operator.set_up(), done.append)
         self.network.run_until(1.0)
         assert done and done[0].error is None, done
-        for account_id, count in ACCOUNT_SIZES.items():
+        for account_id, count in TARGETS_PER_ACCOUNT.items():
             self.listed[account_id] = []
             for _ in range(count):
                 self.add_target(account_id)
@@ -160,14 +160,14 @@
         self.revisions[host_id] = 0
         self.watched_versions.pop(host_id, None)
         self.network.add_host(core)
-        self.network.sprayed.remove(host_id)
+        self.network.fabric_hosts.remove(host_id)
         self.network.after(FABRIC_LAG, lambda: self.add_to_fabric(host_id))
         self.read_platform(host_id, 0)
 
     def add_to_fabric(self, host_id: str) -> None:
         """Let the fabric notice a host."""
-        if host_id in self.network.hosts and host_id not in self.network.sprayed:
-            self.network.sprayed.append(host_id)
+        if host_id in self.network.hosts and host_id not in self.network.fabric_hosts:
+            self.network.fabric_hosts.append(host_id)
 
     def end_host(self, host_id: str) -> None:
         """End a host process; the fabric notices later."""
@@ -177,8 +177,8 @@
 
     def remove_from_fabric(self, host_id: str) -> None:
         """Let the fabric notice that a host is gone."""
-        if host_id in self.network.sprayed and host_id not in self.network.hosts:
-            self.network.sprayed.remove(host_id)
+        if host_id in self.network.fabric_hosts and host_id not in self.network.hosts:
+            self.network.fabric_hosts.remove(host_id)
 
     def add_target(self, account_id: str) -> None:
         """Start a server and list it as the account's next target."""
@@ -236,14 +236,16 @@
         core = self.network.hosts[host_id]
 
         def reachable() -> bool:
-            return self.network.connected(host_id, PLATFORM)
+            return self.network.is_connected(host_id, PLATFORM)
 
         store = self.make_store(reachable)
 
         def done(finished: CoroutineResult) -> None:
             if finished.error is None and self.network.hosts.get(host_id) is core:
                 event = finished.value
-                self.network.arrive(host_id, lambda: self.network.give(host_id, event))
+                self.network.deliver_or_hold(
+                    host_id, lambda: self.network.deliver_event(host_id, event)
+                )
 
         asked_at = self.network.now
         start_coroutine(self.network, read_newer(store, revision, asked_at), done)
@@ -298,7 +300,7 @@
             or version == self.watched_versions.get(host_id)
         ):
             return
-        reachable = self.network.connected(host_id, PLATFORM)
+        reachable = self.network.is_connected(host_id, PLATFORM)
         if host_id in self.network.frozen:
             return
         if reachable and not self.platform.switches.outage:
@@ -309,12 +311,14 @@
         """Have a reader tell the platform what its zone is at."""
         tables = core.tables
         revision = zone_revision(tables)
-        reachable = self.network.connected(host_id, PLATFORM)
+        reachable = self.network.is_connected(host_id, PLATFORM)
         if not tables.replication.is_reader or host_id in self.network.frozen:
             return
         if reachable and revision > self.confirmed.get(host_id, 0):
             self.confirmed[host_id] = revision
-            store = self.make_store(lambda: self.network.connected(host_id, PLATFORM))
+            store = self.make_store(
+                lambda: self.network.is_connected(host_id, PLATFORM)
+            )
             confirmation = store.confirm_zone(tables.zone, revision)
 
             def done(finished: CoroutineResult) -> None:
--- a/citronspring/experiments/workload.py
+++ b/citronspring/experiments/workload.py
@@ -9,8 +9,8 @@
 from citronspring.entities import Protocol
 from citronspring.experiments.history import RequestEnded, RequestOpened
 from citronspring.rendezvous import flow_key
+from citronspring.standins.sample_configuration import TARGETS_PER_ACCOUNT
 from citronspring.standins.service import Outcome, Request, RequestKind
-from citronspring.standins.system import ACCOUNT_SIZES
 
 if TYPE_CHECKING:
     from citronspring.entities import FlowKey
@@ -40,7 +40,7 @@
 
 def account_of(flow: FlowKey) -> str:
     """Return the client account whose service address a flow has."""
-    return list(ACCOUNT_SIZES)[flow[SERVICE_BYTE] - 1]
+    return list(TARGETS_PER_ACCOUNT)[flow[SERVICE_BYTE] - 1]
 
 
 @dataclass(slots=True)
@@ -85,9 +85,9 @@
         entry = RequestOpened(now, request.request_id, account_id, request.kind)
         self.history.add(entry)
         if protocol is Protocol.UDP:
-            self.network.call_datagram(flow, request)
+            self.network.start_datagram_request(flow, request)
         else:
-            self.network.call(flow, request)
+            self.network.start_request(flow, request)
 
     def random_request(self, request_id: str) -> Request:
         """Return a request of some kind and length."""
@@ -118,7 +118,7 @@
         """Note how one request ended."""
         self.ended.add(flow)
         session = sessions.pop(flow)
-        detail = session.refusal or " ".join(session.log)
+        detail = session.refusal or " ".join(session.endings)
         entry = RequestEnded(
             self.network.now, session.request.request_id, outcome, detail
         )
--- a/citronspring/standins/caller.py
+++ b/citronspring/standins/caller.py
@@ -10,7 +10,7 @@
 from citronspring.errors import MalformedPacketError
 from citronspring.packets import decode_packet
 from citronspring.rendezvous import flow_key
-from citronspring.standins.ends import SocketEnd, encode, segment_of
+from citronspring.standins.flow_endpoint import FlowEndpoint, encode, segment_of
 from citronspring.standins.stacks import CallerStack
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 FIRST_PORT = 1024
 
 
-class Caller(SocketEnd):
+class Caller(FlowEndpoint):
     """Callers behind one socket to the fabric.
 
     Parameters
--- a/citronspring/standins/datagrams.py
+++ b/citronspring/standins/datagrams.py
@@ -19,7 +19,7 @@
     from citronspring.entities import FlowKey
 
 #: Seconds a server takes at the most; longer than a host watches a datagram.
-SLOWEST = 2.5
+MAX_SERVICE_SECONDS = 2.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
     rng: random.Random
     on_run: Callable[[Request], None]
     #: Answers and the time they are due.
-    due: list[tuple[float, Datagram]] = field(default_factory=list)
+    pending_answers: list[tuple[float, Datagram]] = field(default_factory=list)
 
     def receive(self, datagram: Datagram, shedding: bool, now: float) -> list[Datagram]:
         """Run a request at once and answer it later; refuse it when shedding."""
@@ -47,13 +47,15 @@
         request = Request.from_header(datagram.payload)
         self.on_run(request)
         answer = Datagram(datagram.flow, expected_answer(request))
-        self.due.append((now + self.rng.uniform(0.0, SLOWEST), answer))
+        self.pending_answers.append(
+            (now + self.rng.uniform(0.0, MAX_SERVICE_SECONDS), answer)
+        )
         return []
 
     def tick(self, now: float) -> list[Datagram]:
         """Return the answers that are due."""
-        ready = [answer for at, answer in self.due if at <= now]
-        self.due = [item for item in self.due if item[0] > now]
+        ready = [answer for at, answer in self.pending_answers if at <= now]
+        self.pending_answers = [item for item in self.pending_answers if item[0] > now]
         return ready
 
 
@@ -78,4 +80,4 @@
             session.refusal = datagram.payload.decode() or "unreachable"
             return
         own = datagram.payload == expected_answer(session.request)
-        session.outcome = Outcome.WHOLE if own else Outcome.WRONG
+        session.outcome = Outcome.COMPLETED if own else Outcome.WRONG
--- a/citronspring/standins/ends.py
+++ b/citronspring/standins/flow_endpoint.py
@@ -23,7 +23,7 @@
 TICK = 0.02
 
 
-class SocketEnd:
+class FlowEndpoint:
     """An end of flows behind one UDP socket.
 
     Parameters
--- a/citronspring/standins/health_endpoint.py
+++ b/citronspring/standins/health_endpoint.py
@@ -33,7 +33,7 @@
     #: Answers by which it lags: each tells the state of so many answers ago.
     lag: int = 0
     #: Says the opposite of the truth while set.
-    lie: bool = False
+    inverted: bool = False
     #: Seconds before it answers.
     delay: float = 0.0
     answered: int = 0
@@ -45,7 +45,7 @@
         del request
         self.answered += 1
         await anyio.sleep(self.delay)
-        healthy = self.is_healthy() is not self.lie
+        healthy = self.is_healthy() is not self.inverted
         self.history.append({"healthy": healthy, "load": self.read_load()})
         while len(self.history) > self.lag + 1:
             self.history.popleft()
--- a/citronspring/standins/loopback.py
+++ b/citronspring/standins/loopback.py
@@ -34,7 +34,7 @@
 #: Address on which a system reserves its ports, and the ports it may begin at: below
 #: the range from which the kernel picks ports for others.
 RESERVED_IP = "127.0.3.5"
-FIRST_PORTS = range(20_000, 30_000, 100)
+FIRST_PORT_CANDIDATES = range(20_000, 30_000, 100)
 
 #: The last port of a range, on which targets end their tunnels.
 TUNNEL_OFFSET = 99
@@ -42,7 +42,7 @@
 
 def reserve_ports() -> socket.socket:
     """Return a socket on the first port of a range that no other system holds."""
-    for port in FIRST_PORTS:
+    for port in FIRST_PORT_CANDIDATES:
         try:
             return bind_udp(Endpoint(RESERVED_IP, port))
         except SettingsError:
@@ -67,7 +67,7 @@
     scopes: dict[str, anyio.CancelScope] = field(default_factory=dict)
     targets: dict[str, TargetServer] = field(default_factory=dict)
     #: Request ids in the order they ran, with the target.
-    ran: list[tuple[str, str]] = field(default_factory=list)
+    executed: list[tuple[str, str]] = field(default_factory=list)
     fabric: Fabric = field(init=False)
     caller: Caller = field(init=False)
     ports: itertools.count[int] = field(init=False)
@@ -97,11 +97,11 @@
         await self.group.start(self.fabric.run)
         await self.group.start(self.caller.run)
 
-    def describe_hosts(self, count: int) -> list[HostSection]:
+    def make_host_sections(self, count: int) -> list[HostSection]:
         """Return the settings sections of so many hosts."""
-        return [self.describe_host(index) for index in range(count)]
+        return [self.make_host_section(index) for index in range(count)]
 
-    def describe_host(self, index: int) -> HostSection:
+    def make_host_section(self, index: int) -> HostSection:
         """Return the settings section of one host."""
         ip = f"127.0.1.{index + 1}"
         return HostSection(
@@ -113,7 +113,7 @@
             control=Endpoint(ip, next(self.ports)),
         )
 
-    def settings_of(
+    def make_settings(
         self, section: HostSection, peers: list[HostSection], platform_url: str
     ) -> Settings:
         """Return the settings of one host."""
@@ -148,7 +148,7 @@
         """Start a target of a client account."""
 
         def note(request: Request) -> None:
-            self.ran.append((request.request_id, target.target_id))
+            self.executed.append((request.request_id, target.target_id))
 
         server = TargetServer(
             target.tunnel, account.addresses, self.fabric.pick_host, self.rng, note
--- a/citronspring/standins/memory.py
+++ b/citronspring/standins/memory.py
@@ -23,7 +23,7 @@
 from citronspring.tokens.entries import count_of, epoch_of, ordered_revision
 
 #: Old versions kept of each key, so that reads can be stale.
-VERSIONS_KEPT = 8
+MAX_VERSIONS_KEPT = 8
 
 Sleep = Callable[[float], Awaitable[None]]
 
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlatformCopy:
+class PlatformBackup:
     """What a platform held at one moment."""
 
     values: dict[str, StoredValue]
@@ -74,11 +74,11 @@
     #: What the list answers while it is stale.
     stale_hosts: HostList | None = None
     #: Set, and replaced, at each write.
-    written: anyio.Event | None = None
+    write_event: anyio.Event | None = None
 
     async def get(self, key: str) -> StoredValue | None:
         """Read a key, an old version of it while reads are stale."""
-        await self.take_call()
+        await self.begin_call()
         versions = self.values.get(key)
         if not versions:
             return None
@@ -94,7 +94,7 @@
             raise ConfigurationError(
                 f"{key} has {len(value)} bytes", f"keep to {MAX_VALUE_BYTES}"
             )
-        await self.take_call()
+        await self.begin_call()
         self.lose_request(key)
         if self.current_version(key) != expected:
             raise VersionMismatchError(f"{key} is not at version {expected}")
@@ -104,24 +104,24 @@
 
     async def delete(self, key: str) -> None:
         """Remove a key with its old versions."""
-        await self.take_call()
+        await self.begin_call()
         self.lose_request(key)
         self.values.pop(key, None)
         self.lose_answer(key)
 
     async def watch(self, key: str, after_version: int) -> StoredValue:
         """Wait until a key has a version above ``after_version``."""
-        await self.take_call()
+        await self.begin_call()
         while self.current_version(key) <= after_version:
-            if self.written is None:
-                self.written = anyio.Event()
-            await self.written.wait()
-            self.refuse_in_outage()
+            if self.write_event is None:
+                self.write_event = anyio.Event()
+            await self.write_event.wait()
+            self.raise_in_outage()
         return self.values[key][-1]
 
     async def list_hosts(self) -> HostList:
         """Read the list of hosts, an old one while it is stale."""
-        await self.take_call()
+        await self.begin_call()
         if not self.switches.stale_hosts:
             self.stale_hosts = None
             return self.hosts
@@ -129,12 +129,12 @@
             self.stale_hosts = self.hosts
         return self.stale_hosts
 
-    def copy(self) -> PlatformCopy:
+    def backup(self) -> PlatformBackup:
         """Return a copy of all values, to come back from."""
         newest = {key: versions[-1] for key, versions in self.values.items()}
-        return PlatformCopy(newest, self.last_version)
+        return PlatformBackup(newest, self.last_version)
 
-    def restore(self, copy: PlatformCopy) -> None:
+    def restore(self, copy: PlatformBackup) -> None:
         """Come back from an older copy; versions are given out again."""
         epoch = epoch_of(self.last_version) + 1
 
@@ -145,11 +145,11 @@
         self.values = {
             key: deque(
                 [StoredValue(stored.value, of_epoch(stored.version))],
-                maxlen=VERSIONS_KEPT,
+                maxlen=MAX_VERSIONS_KEPT,
             )
             for key, stored in copy.values.items()
         }
-        self.wake_watches()
+        self.notify_watches()
 
     def set_hosts(self, live: frozenset[str], leaving: frozenset[str]) -> None:
         """Replace the list of hosts."""
@@ -160,7 +160,7 @@
     def set_switches(self, switches: Switches) -> None:
         """Replace the switches; an outage ends the watches that wait."""
         self.switches = switches
-        self.wake_watches()
+        self.notify_watches()
 
     def current_version(self, key: str) -> int:
         """Return the newest version of a key, ABSENT if there is none."""
@@ -170,25 +170,25 @@
     def store(self, key: str, value: bytes) -> int:
         """Write a key, whatever its version, and wake the watches."""
         self.last_version += 1
-        versions = self.values.setdefault(key, deque(maxlen=VERSIONS_KEPT))
+        versions = self.values.setdefault(key, deque(maxlen=MAX_VERSIONS_KEPT))
         versions.append(StoredValue(value, self.last_version))
-        self.wake_watches()
+        self.notify_watches()
         return self.last_version
 
-    def wake_watches(self) -> None:
+    def notify_watches(self) -> None:
         """Let the watches look again."""
-        if self.written is not None:
-            self.written.set()
-            self.written = None
+        if self.write_event is not None:
+            self.write_event.set()
+            self.write_event = None
 
-    async def take_call(self) -> None:
+    async def begin_call(self) -> None:
         """Delay or refuse a call, as the switches say."""
-        self.refuse_in_outage()
+        self.raise_in_outage()
         if self.switches.delay > 0:
             await self.sleep(self.switches.delay)
-            self.refuse_in_outage()
+            self.raise_in_outage()
 
-    def refuse_in_outage(self) -> None:
+    def raise_in_outage(self) -> None:
         """Raise PlatformUnavailableError during an outage."""
         if self.switches.outage:
             raise PlatformUnavailableError(
--- a/citronspring/standins/network.py
+++ b/citronspring/standins/network.py
@@ -51,8 +51,8 @@
 class LinkQuality:
     """How packets between two places fare."""
 
-    shortest: float = 0.0005
-    longest: float = 0.003
+    min_delay: float = 0.0005
+    max_delay: float = 0.003
     loss: float = 0.0
     duplication: float = 0.0
 
@@ -71,25 +71,25 @@
     callers: CallerStack = field(init=False)
     datagram_callers: DatagramCaller = field(default_factory=DatagramCaller)
     #: Hosts the fabric sprays packets over; lags behind what is true.
-    sprayed: list[str] = field(default_factory=list)
+    fabric_hosts: list[str] = field(default_factory=list)
     #: Chooses the receiving host of a packet; random unless a run sets another.
-    spray: Callable[[FlowKey], str] = field(init=False)
+    choose_host: Callable[[FlowKey], str] = field(init=False)
     #: Zone of each place, for cuts; places without a zone are never cut off.
     zones: dict[str, str] = field(default_factory=dict)
     #: Pairs of zones between which nothing passes.
-    cuts: set[frozenset[str]] = field(default_factory=set)
+    partitions: set[frozenset[str]] = field(default_factory=set)
     #: Places that neither send nor receive until they wake; packets wait.
     frozen: set[str] = field(default_factory=set)
-    waiting: dict[str, list[Callable[[], None]]] = field(default_factory=dict)
+    held_deliveries: dict[str, list[Callable[[], None]]] = field(default_factory=dict)
     #: Called with each action of a host, for histories and counts.
     observers: list[Callable[[str, Action], None]] = field(default_factory=list)
     #: Handles actions that are neither packets nor control messages.
-    perform_other: Callable[[str, Action], None] | None = None
+    other_action_handler: Callable[[str, Action], None] | None = None
     stopped: set[str] = field(default_factory=set)
 
     def __post_init__(self) -> None:
         self.callers = CallerStack(self.rng)
-        self.spray = lambda flow: self.rng.choice(self.sprayed)
+        self.choose_host = lambda flow: self.rng.choice(self.fabric_hosts)
         self.after(TICK, self.tick)
 
     def after(self, delay: float, action: Callable[[], None]) -> None:
@@ -107,12 +107,12 @@
         """Tick every core and every end that is awake."""
         for host_id, core in list(self.hosts.items()):
             if host_id not in self.frozen:
-                self.perform(host_id, core.tick(self.now))
+                self.perform_actions(host_id, core.tick(self.now))
         for target_id, stack in list(self.targets.items()):
             if target_id not in self.frozen:
-                self.send_answers(target_id, stack.tick(self.now))
-                self.send_datagrams(target_id, stack.datagrams.tick(self.now))
-        self.send_calls(self.callers.tick(self.now))
+                self.send_target_segments(target_id, stack.tick(self.now))
+                self.send_target_datagrams(target_id, stack.datagrams.tick(self.now))
+        self.send_caller_segments(self.callers.tick(self.now))
         self.after(TICK, self.tick)
 
     # Places -------------------------------------------------------------------
@@ -122,13 +122,13 @@
         tables = core.tables
         self.hosts[tables.host_id] = core
         self.zones[tables.host_id] = tables.zone
-        self.sprayed.append(tables.host_id)
+        self.fabric_hosts.append(tables.host_id)
 
     def kill_host(self, host_id: str) -> None:
         """Lose a host and all it knew, at once."""
         self.hosts.pop(host_id, None)
         self.frozen.discard(host_id)
-        self.waiting.pop(host_id, None)
+        self.held_deliveries.pop(host_id, None)
 
     def add_target(
         self, target_id: str, zone: str, on_run: Callable[[Request], None]
@@ -139,22 +139,22 @@
         self.zones[target_id] = zone
         return stack
 
-    def freeze(self, place: str) -> None:
+    def freeze(self, node: str) -> None:
         """Stop a host or target without ending it; what arrives waits."""
-        self.frozen.add(place)
+        self.frozen.add(node)
 
-    def wake(self, place: str) -> None:
+    def unfreeze(self, node: str) -> None:
         """Let a frozen place go on, with all that waited for it."""
-        self.frozen.discard(place)
-        for action in self.waiting.pop(place, []):
+        self.frozen.discard(node)
+        for action in self.held_deliveries.pop(node, []):
             action()
 
-    def connected(self, source: str, destination: str) -> bool:
+    def is_connected(self, source: str, destination: str) -> bool:
         """Whether packets pass between two places."""
         zones = self.zones.get(source), self.zones.get(destination)
-        return None in zones or frozenset(map(str, zones)) not in self.cuts
+        return None in zones or frozenset(map(str, zones)) not in self.partitions
 
-    def carry(
+    def transmit(
         self,
         source: str,
         destination: str,
@@ -166,82 +166,86 @@
         Datagrams of a flow are never duplicated: a service that runs requests in
         single datagrams cannot tell the network's copy from a second request.
         """
-        if not self.connected(source, destination):
+        if not self.is_connected(source, destination):
             return
         if self.rng.random() < self.quality.loss:
             return
         twice = self.rng.random() < self.quality.duplication
         copies = 2 if twice and (flow is None or flow[0] != Protocol.UDP) else 1
         for _ in range(copies):
-            delay = self.rng.uniform(self.quality.shortest, self.quality.longest)
-            self.after(delay, lambda: self.arrive(destination, deliver))
+            delay = self.rng.uniform(self.quality.min_delay, self.quality.max_delay)
+            self.after(delay, lambda: self.deliver_or_hold(destination, deliver))
 
-    def arrive(self, place: str, deliver: Callable[[], None]) -> None:
+    def deliver_or_hold(self, node: str, deliver: Callable[[], None]) -> None:
         """Deliver, unless the place is frozen: then when it wakes."""
-        if place in self.frozen:
-            self.waiting.setdefault(place, []).append(deliver)
+        if node in self.frozen:
+            self.held_deliveries.setdefault(node, []).append(deliver)
         else:
             deliver()
 
     # Packets ------------------------------------------------------------------
 
-    def call(self, flow: FlowKey, request: Request) -> None:
+    def start_request(self, flow: FlowKey, request: Request) -> None:
         """Start a request from a caller."""
-        self.send_calls(self.callers.open(flow, request, self.now))
+        self.send_caller_segments(self.callers.open(flow, request, self.now))
 
-    def call_datagram(self, flow: FlowKey, request: Request) -> None:
+    def start_datagram_request(self, flow: FlowKey, request: Request) -> None:
         """Send a request in one datagram from a caller."""
         datagram = self.datagram_callers.open(flow, request)
         packet = datagram_packet(datagram, from_caller=True)
-        self.to_any_host(FABRIC, PacketReceived(packet), flow)
+        self.send_through_fabric(FABRIC, PacketReceived(packet), flow)
 
-    def send_datagrams(self, target_id: str, datagrams: list[Datagram]) -> None:
+    def send_target_datagrams(self, target_id: str, datagrams: list[Datagram]) -> None:
         """Spray a target's datagrams over the hosts."""
         for datagram in datagrams:
             packet = datagram_packet(datagram, from_caller=False)
             event = PacketReceived(packet, target_id)
-            self.to_any_host(target_id, event, datagram.flow)
+            self.send_through_fabric(target_id, event, datagram.flow)
 
-    def send_calls(self, outgoing: list[tuple[FlowKey, Segment]]) -> None:
+    def send_caller_segments(self, outgoing: list[tuple[FlowKey, Segment]]) -> None:
         """Spray callers' segments over the hosts."""
         for flow, segment in outgoing:
             packet = packet_of(flow, segment, from_caller=True)
-            self.to_any_host(FABRIC, PacketReceived(packet), flow)
+            self.send_through_fabric(FABRIC, PacketReceived(packet), flow)
 
-    def send_answers(
+    def send_target_segments(
         self, target_id: str, outgoing: list[tuple[FlowKey, Segment]]
     ) -> None:
         """Spray a target's segments over the hosts."""
         for flow, segment in outgoing:
             packet = packet_of(flow, segment, from_caller=False)
-            self.to_any_host(target_id, PacketReceived(packet, target_id), flow)
+            self.send_through_fabric(target_id, PacketReceived(packet, target_id), flow)
 
-    def to_any_host(self, source: str, event: PacketReceived, flow: FlowKey) -> None:
+    def send_through_fabric(
+        self, source: str, event: PacketReceived, flow: FlowKey
+    ) -> None:
         """Hand a packet to the host the fabric picks."""
-        if self.sprayed:
-            host_id = self.spray(flow)
-            self.carry(source, host_id, lambda: self.give(host_id, event), flow)
+        if self.fabric_hosts:
+            host_id = self.choose_host(flow)
+            self.transmit(
+                source, host_id, lambda: self.deliver_event(host_id, event), flow
+            )
 
-    def give(self, host_id: str, event: object) -> None:
+    def deliver_event(self, host_id: str, event: object) -> None:
         """Give a host an event, if it lives."""
         core = self.hosts.get(host_id)
         if core is not None:
-            self.perform(host_id, core.receive(event, self.now))  # type: ignore[arg-type]
+            self.perform_actions(host_id, core.receive(event, self.now))  # type: ignore[arg-type]
 
-    def perform(self, host_id: str, actions: list[Action]) -> None:
+    def perform_actions(self, host_id: str, actions: list[Action]) -> None:
         """Do what a core asks for."""
         for action in actions:
             for observer in self.observers:
                 observer(host_id, action)
-            self.perform_one(host_id, action)
+            self.perform_action(host_id, action)
 
-    def perform_one(self, host_id: str, action: Action) -> None:
+    def perform_action(self, host_id: str, action: Action) -> None:
         """Do one thing a core asks for."""
         match action:
             case SendToTarget():
-                self.to_target(host_id, action.target_id, action.packet)
+                self.send_to_target(host_id, action.target_id, action.packet)
             case SendToCaller():
-                self.to_caller(host_id, action.packet)
+                self.send_to_caller(host_id, action.packet)
             case Relay():
                 self.relay(host_id, action)
             case Refuse():
@@ -249,16 +253,16 @@
             case SendControl():
                 event = ControlReceived(host_id, action.message)
                 peer = action.host_id
-                self.carry(host_id, peer, lambda: self.give(peer, event))
+                self.transmit(host_id, peer, lambda: self.deliver_event(peer, event))
             case Stopped():
                 self.stopped.add(host_id)
             case Drop():
                 pass
             case _:
-                if self.perform_other is not None:
-                    self.perform_other(host_id, action)
+                if self.other_action_handler is not None:
+                    self.other_action_handler(host_id, action)
 
-    def to_target(self, host_id: str, target_id: str, packet: Packet) -> None:
+    def send_to_target(self, host_id: str, target_id: str, packet: Packet) -> None:
         """Carry a packet through a target's tunnel."""
 
         def deliver() -> None:
@@ -268,15 +272,15 @@
             if packet.flow[0] == Protocol.UDP:
                 datagram = Datagram(packet.flow, packet.data)
                 answers = stack.datagrams.receive(datagram, stack.shedding, self.now)
-                self.send_datagrams(target_id, answers)
+                self.send_target_datagrams(target_id, answers)
             else:
                 segment = segment_of(packet)
                 answers = stack.receive(packet.flow, segment, self.now)
-                self.send_answers(target_id, answers)
+                self.send_target_segments(target_id, answers)
 
-        self.carry(host_id, target_id, deliver, packet.flow)
+        self.transmit(host_id, target_id, deliver, packet.flow)
 
-    def to_caller(self, host_id: str, packet: Packet) -> None:
+    def send_to_caller(self, host_id: str, packet: Packet) -> None:
         """Carry an answer to its caller."""
 
         def deliver() -> None:
@@ -286,9 +290,9 @@
                 return
             segment = segment_of(packet)
             calls = self.callers.receive(packet.flow, segment, self.now)
-            self.send_calls(calls)
+            self.send_caller_segments(calls)
 
-        self.carry(host_id, FABRIC, deliver, packet.flow)
+        self.transmit(host_id, FABRIC, deliver, packet.flow)
 
     def refuse(self, host_id: str, action: Refuse) -> None:
         """Carry a refusal to its caller."""
@@ -296,11 +300,11 @@
         text = f"{action.reason.value} {action.retry_at:.1f}".encode()
         if opening.flow[0] == Protocol.UDP:
             refused = Datagram(opening.flow, text, unreachable=True)
-            self.to_caller(host_id, datagram_packet(refused, from_caller=False))
+            self.send_to_caller(host_id, datagram_packet(refused, from_caller=False))
             return
         refusal = Segment(RST | ACK, 0, (opening.seq + 1) & 0xFFFFFFFF, text)
         packet = packet_of(opening.flow, refusal, from_caller=False)
-        self.to_caller(host_id, packet)
+        self.send_to_caller(host_id, packet)
 
     def relay(self, host_id: str, action: Relay) -> None:
         """Carry a relayed packet or binding to another host."""
@@ -313,7 +317,9 @@
             action.target_id,
         )
         peer = action.host_id
-        self.carry(host_id, peer, lambda: self.give(peer, event), action.flow)
+        self.transmit(
+            host_id, peer, lambda: self.deliver_event(peer, event), action.flow
+        )
 
 
 def packet_of(flow: FlowKey, segment: Segment, from_caller: bool) -> Packet:
--- a/citronspring/standins/platform.py
+++ b/citronspring/standins/platform.py
@@ -61,10 +61,10 @@
         Route("/switches", service.set_switches, methods=["PUT"]),
     ]
     handlers = {
-        PlatformUnavailableError: answer_unavailable,
-        OutcomeUnknownError: answer_lost,
-        VersionMismatchError: answer_mismatch,
-        ConfigurationError: answer_too_large,
+        PlatformUnavailableError: handle_unavailable,
+        OutcomeUnknownError: handle_outcome_unknown,
+        VersionMismatchError: handle_version_mismatch,
+        ConfigurationError: handle_oversized_value,
     }
     return Starlette(routes=routes, exception_handlers=handlers)
 
@@ -85,7 +85,7 @@
         stored = await self.platform.get(key)
         if stored is None:
             return Response(status_code=404)
-        return answer_value(stored)
+        return value_response(stored)
 
     async def watch(self, request: Request, key: str) -> Response:
         """Hold the request until there is a newer version."""
@@ -100,7 +100,7 @@
                 stored = await self.platform.watch(key, after)
             finally:
                 self.watches.remove(scope)
-            return answer_value(stored)
+            return value_response(stored)
         return Response(status_code=204)
 
     def end_watches(self) -> None:
@@ -150,7 +150,7 @@
         return Response(status_code=204)
 
 
-def answer_value(stored: StoredValue) -> Response:
+def value_response(stored: StoredValue) -> Response:
     """Answer with a value and its version."""
     return Response(stored.value, headers=version_headers(stored.version))
 
@@ -163,21 +163,21 @@
     }
 
 
-async def answer_unavailable(request: Request, error: Exception) -> Response:
+async def handle_unavailable(request: Request, error: Exception) -> Response:
     """Answer during an outage."""
     return JSONResponse({"message": str(error)}, status_code=503)
 
 
-async def answer_lost(request: Request, error: Exception) -> Response:
+async def handle_outcome_unknown(request: Request, error: Exception) -> Response:
     """Answer as a gateway does that got no answer itself."""
     return JSONResponse({"message": str(error)}, status_code=504)
 
 
-async def answer_mismatch(request: Request, error: Exception) -> Response:
+async def handle_version_mismatch(request: Request, error: Exception) -> Response:
     """Answer to a compare-and-swap of an old version."""
     return JSONResponse({"message": str(error)}, status_code=412)
 
 
-async def answer_too_large(request: Request, error: Exception) -> Response:
+async def handle_oversized_value(request: Request, error: Exception) -> Response:
     """Answer to a value above the limit."""
     return JSONResponse({"message": str(error)}, status_code=413)
--- a/citronspring/standins/system.py
+++ b/citronspring/standins/sample_configuration.py
@@ -18,7 +18,7 @@
 SYSTEM_ZONES = ("drukkerij", "zetterij", "pakhuis")
 
 #: Targets of each client account.
-ACCOUNT_SIZES: Mapping[str, int] = {"bundelpers": 7, "inzendloket": 3}
+TARGETS_PER_ACCOUNT: Mapping[str, int] = {"bundelpers": 7, "inzendloket": 3}
 
 SERVICE_PORT = 443
 TUNNEL_PORT = 6080
@@ -53,7 +53,7 @@
     port: int = TUNNEL_PORT,
 ) -> dict[str, Any]:
     """Return the parameters of one target; its tunnel follows from its number."""
-    index = list(ACCOUNT_SIZES).index(account_id)
+    index = list(TARGETS_PER_ACCOUNT).index(account_id)
     return {
         "target_id": f"{account_id}-{number}",
         "tunnel": f"127.0.{10 + index}.{number + 1}:{port}",
@@ -68,7 +68,7 @@
     port: int = TUNNEL_PORT,
 ) -> dict[str, Any]:
     """Return the parameters of a client account with so many targets."""
-    index = list(ACCOUNT_SIZES).index(account_id)
+    index = list(TARGETS_PER_ACCOUNT).index(account_id)
     return {
         "address": f"192.0.2.{index + 1}",
         "targets": [
@@ -104,7 +104,7 @@
     async def set_up(self, port: int = TUNNEL_PORT) -> None:
         """Create the template and the client accounts, tunnels on one port."""
         await self.commit(PutTemplate(template=TEMPLATE, **self.identity()))
-        for account_id, count in ACCOUNT_SIZES.items():
+        for account_id, count in TARGETS_PER_ACCOUNT.items():
             parameters = account_parameters(account_id, count, port=port)
             await self.commit(self.put_account(account_id, parameters))
 
--- a/citronspring/standins/service.py
+++ b/citronspring/standins/service.py
@@ -60,7 +60,7 @@
         return cls(request_id, RequestKind(kind), int(size), float(rate))
 
 
-def body_of(request: Request) -> bytes:
+def request_body(request: Request) -> bytes:
     """Return the body of a request, made from its id."""
     block = xxh64_digest(request.request_id.encode())
     return (block * (request.size // len(block) + 1))[: request.size]
@@ -69,9 +69,9 @@
 @lru_cache(maxsize=4096)
 def expected_answer(request: Request) -> bytes:
     """Return the whole answer to a request."""
-    done = f"DONE {request.request_id} {xxh64_hexdigest(body_of(request))}\n"
+    done = f"DONE {request.request_id} {xxh64_hexdigest(request_body(request))}\n"
     if request.kind is RequestKind.PREVIEW:
-        return body_of(request) + done.encode()
+        return request_body(request) + done.encode()
     return done.encode()
 
 
@@ -84,7 +84,7 @@
     started_at: float
     sent: int = 0
 
-    def take(self, now: float) -> bytes:
+    def take_due_bytes(self, now: float) -> bytes:
         """Return the bytes that are due and not yet sent."""
         due = int((now - self.started_at) * self.rate)
         if due < len(self.data):
@@ -116,10 +116,10 @@
             return
         assert self.request is not None
         if self.stream is not None:
-            chunk = self.stream.take(now)
+            chunk = self.stream.take_due_bytes(now)
             if chunk:
                 connection.send(chunk, now)
-        if not self.answered and self.body_complete(connection):
+        if not self.answered and self.is_ready_to_answer(connection):
             self.answer(connection, now)
 
     def read_header(self, connection: Connection, now: float) -> bool:
@@ -130,11 +130,11 @@
         connection.received[:] = rest
         self.request = Request.from_header(line)
         if self.request.kind is RequestKind.PREVIEW:
-            body = body_of(self.request)
+            body = request_body(self.request)
             self.stream = PacedBody(body, self.request.rate, now)
         return True
 
-    def body_complete(self, connection: Connection) -> bool:
+    def is_ready_to_answer(self, connection: Connection) -> bool:
         """Whether the request can be answered."""
         assert self.request is not None
         if self.stream is not None:
@@ -148,7 +148,7 @@
         assert self.request is not None
         self.answered = True
         self.on_run(self.request)
-        digest = xxh64_hexdigest(body_of(self.request))
+        digest = xxh64_hexdigest(request_body(self.request))
         if self.request.kind is RequestKind.UPLOAD:
             digest = xxh64_hexdigest(bytes(connection.received))
         line = f"DONE {self.request.request_id} {digest}\n"
@@ -159,7 +159,7 @@
 class Outcome(Enum):
     """What a caller got."""
 
-    WHOLE = "whole"
+    COMPLETED = "whole"
     #: Told that nothing was run.
     REFUSED = "refused"
     #: The connection broke after it was established, or never answered.
@@ -176,11 +176,11 @@
 
     request: Request
     body: PacedBody | None = None
-    started: bool = False
+    header_sent: bool = False
     outcome: Outcome | None = None
     #: Text that came with a refusal.
     refusal: str = ""
-    log: list[str] = field(default_factory=list)
+    endings: list[str] = field(default_factory=list)
 
     def advance(self, connection: Connection, now: float) -> None:
         """Send what is due and judge what came."""
@@ -190,28 +190,30 @@
             self.send_due(connection, now)
         expected = len(expected_answer(self.request))
         if len(connection.received) >= expected:
-            self.judge(connection, now)
+            self.check_answer(connection, now)
         elif connection.ending is Ending.REFUSED:
             self.outcome = Outcome.REFUSED
             self.refusal = connection.refusal.decode()
         elif connection.ending is not None:
             self.outcome = Outcome.BROKEN
-            self.log.append(connection.ending.value)
+            self.endings.append(connection.ending.value)
 
     def send_due(self, connection: Connection, now: float) -> None:
         """Send the header, then the body at its rate."""
-        if not self.started:
-            self.started = True
+        if not self.header_sent:
+            self.header_sent = True
             connection.send(self.request.header(), now)
             if self.request.kind is RequestKind.UPLOAD:
-                self.body = PacedBody(body_of(self.request), self.request.rate, now)
+                self.body = PacedBody(
+                    request_body(self.request), self.request.rate, now
+                )
         if self.body is not None:
-            chunk = self.body.take(now)
+            chunk = self.body.take_due_bytes(now)
             if chunk:
                 connection.send(chunk, now)
 
-    def judge(self, connection: Connection, now: float) -> None:
+    def check_answer(self, connection: Connection, now: float) -> None:
         """Compare the answer with the one that belongs to the request."""
         own = bytes(connection.received) == expected_answer(self.request)
-        self.outcome = Outcome.WHOLE if own else Outcome.WRONG
+        self.outcome = Outcome.COMPLETED if own else Outcome.WRONG
         connection.close(now)
--- a/citronspring/standins/stacks.py
+++ b/citronspring/standins/stacks.py
@@ -18,7 +18,7 @@
     from citronspring.standins.service import Request
 
 #: Seconds a closed connection still acknowledges the other side's FIN.
-LINGER = 5.0
+LINGER_SECONDS = 5.0
 
 MAX_SEQUENCE = 0xFFFFFFFF
 
@@ -26,23 +26,23 @@
 Outgoing = tuple["FlowKey", Segment]
 
 
-def answer_unknown(flow: FlowKey, segment: Segment) -> list[Outgoing]:
+def reset_unknown(flow: FlowKey, segment: Segment) -> list[Outgoing]:
     """Return the answer to a segment of no known connection."""
     if segment.flags & RST:
         return []
     return [(flow, reset_for(segment))]
 
 
-def outgoing_of(flow: FlowKey, connection: Connection) -> list[Outgoing]:
+def take_outgoing(flow: FlowKey, connection: Connection) -> list[Outgoing]:
     """Take what a connection has queued."""
     return [(flow, item) for item in connection.take_outbox()]
 
 
-def take_due(forget_at: dict[FlowKey, float], now: float) -> list[FlowKey]:
+def pop_expired(remove_at: dict[FlowKey, float], now: float) -> list[FlowKey]:
     """Take the flows whose closed connections are to be forgotten."""
-    flows = [flow for flow, due in forget_at.items() if due <= now]
+    flows = [flow for flow, due in remove_at.items() if due <= now]
     for flow in flows:
-        del forget_at[flow]
+        del remove_at[flow]
     return flows
 
 
@@ -56,7 +56,7 @@
     connections: dict[FlowKey, Connection] = field(default_factory=dict)
     sessions: dict[FlowKey, ServerSession] = field(default_factory=dict)
     #: Closed connections by flow, and when they are forgotten.
-    forget_at: dict[FlowKey, float] = field(default_factory=dict)
+    remove_at: dict[FlowKey, float] = field(default_factory=dict)
     #: Answers every SYN with a reset while set.
     shedding: bool = False
     #: Times of accepted connections, to tell whether a leaving target gets work.
@@ -73,7 +73,7 @@
         if opening and (connection is None or connection.state is State.CLOSED):
             return self.open(flow, segment, now)
         if connection is None:
-            return answer_unknown(flow, segment)
+            return reset_unknown(flow, segment)
         connection.receive(segment, now)
         return self.advance(flow, connection, now)
 
@@ -81,13 +81,13 @@
         """Accept a connection, or shed it."""
         if self.shedding:
             return [(flow, reset_for(segment))]
-        first_seq = self.rng.randint(0, MAX_SEQUENCE)
-        connection = Connection.accept(segment, first_seq, now)
+        initial_seq = self.rng.randint(0, MAX_SEQUENCE)
+        connection = Connection.accept(segment, initial_seq, now)
         self.connections[flow] = connection
         self.sessions[flow] = ServerSession(self.on_run)
-        self.forget_at.pop(flow, None)
+        self.remove_at.pop(flow, None)
         self.accepted_at.append(now)
-        return outgoing_of(flow, connection)
+        return take_outgoing(flow, connection)
 
     def advance(
         self, flow: FlowKey, connection: Connection, now: float
@@ -96,8 +96,8 @@
         if connection.state is State.ESTABLISHED:
             self.sessions[flow].advance(connection, now)
         elif connection.state is State.CLOSED:
-            self.forget_at.setdefault(flow, now + LINGER)
-        return outgoing_of(flow, connection)
+            self.remove_at.setdefault(flow, now + LINGER_SECONDS)
+        return take_outgoing(flow, connection)
 
     def tick(self, now: float) -> list[Outgoing]:
         """Run timers and paced streams."""
@@ -105,7 +105,7 @@
         for flow, connection in list(self.connections.items()):
             connection.tick(now)
             outgoing += self.advance(flow, connection, now)
-        for flow in take_due(self.forget_at, now):
+        for flow in pop_expired(self.remove_at, now):
             del self.connections[flow]
             del self.sessions[flow]
         return outgoing
@@ -124,22 +124,22 @@
     connections: dict[FlowKey, Connection] = field(default_factory=dict)
     sessions: dict[FlowKey, CallerSession] = field(default_factory=dict)
     #: Closed connections by flow, and when they are forgotten.
-    forget_at: dict[FlowKey, float] = field(default_factory=dict)
+    remove_at: dict[FlowKey, float] = field(default_factory=dict)
 
     def open(self, flow: FlowKey, request: Request, now: float) -> list[Outgoing]:
         """Start a request on a new connection."""
-        first_seq = self.rng.randint(0, MAX_SEQUENCE)
-        connection = Connection.connect(first_seq, now)
+        initial_seq = self.rng.randint(0, MAX_SEQUENCE)
+        connection = Connection.connect(initial_seq, now)
         self.connections[flow] = connection
         self.sessions[flow] = CallerSession(request)
-        self.forget_at.pop(flow, None)
-        return outgoing_of(flow, connection)
+        self.remove_at.pop(flow, None)
+        return take_outgoing(flow, connection)
 
     def receive(self, flow: FlowKey, segment: Segment, now: float) -> list[Outgoing]:
         """Handle a segment; return what to send."""
         connection = self.connections.get(flow)
         if connection is None:
-            return answer_unknown(flow, segment)
+            return reset_unknown(flow, segment)
         connection.receive(segment, now)
         return self.advance(flow, connection, now)
 
@@ -151,8 +151,8 @@
         if session is not None:
             session.advance(connection, now)
         if connection.state is State.CLOSED:
-            self.forget_at.setdefault(flow, now + LINGER)
-        return outgoing_of(flow, connection)
+            self.remove_at.setdefault(flow, now + LINGER_SECONDS)
+        return take_outgoing(flow, connection)
 
     def tick(self, now: float) -> list[Outgoing]:
         """Run timers and paced uploads."""
@@ -160,6 +160,6 @@
         for flow, connection in list(self.connections.items()):
             connection.tick(now)
             outgoing += self.advance(flow, connection, now)
-        for flow in take_due(self.forget_at, now):
+        for flow in pop_expired(self.remove_at, now):
             del self.connections[flow]
         return outgoing
--- a/citronspring/standins/target.py
+++ b/citronspring/standins/target.py
@@ -9,7 +9,7 @@
 from citronspring.daemons.sockets import send
 from citronspring.errors import MalformedPacketError
 from citronspring.packets import decapsulate, decode_packet, encapsulate
-from citronspring.standins.ends import SocketEnd, encode, segment_of
+from citronspring.standins.flow_endpoint import FlowEndpoint, encode, segment_of
 from citronspring.standins.stacks import TargetStack
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
     from citronspring.standins.stacks import Outgoing
 
 
-class TargetServer(SocketEnd):
+class TargetServer(FlowEndpoint):
     """A target that accepts flows to its client account's addresses only.
 
     Parameters
@@ -61,13 +61,13 @@
             packet = decode_packet(decapsulate(datagram), from_caller=True)
         except MalformedPacketError:
             return
-        if not self.is_own(packet):
+        if not self.is_own_address(packet):
             self.foreign += 1
             return
         now = anyio.current_time()
         self.answer(self.stack.receive(packet.flow, segment_of(packet), now))
 
-    def is_own(self, packet: Packet) -> bool:
+    def is_own_address(self, packet: Packet) -> bool:
         """Whether the packet is for one of the account's service addresses."""
         ip = ".".join(str(part) for part in packet.flow[1:5])
         return (ip, int.from_bytes(packet.flow[5:7], "big")) in self.ports
--- a/citronspring/standins/tcp.py
+++ b/citronspring/standins/tcp.py
@@ -11,8 +11,8 @@
 
 from citronspring.tcp_flags import ACK, FIN, RST, SYN
 
-MASK = 0xFFFFFFFF
-HALF = 0x80000000
+SEQUENCE_MASK = 0xFFFFFFFF
+HALF_SEQUENCE_SPACE = 0x80000000
 
 #: Payload bytes of one segment.
 SEGMENT_SIZE = 1200
@@ -24,14 +24,14 @@
 RECEIVE_WINDOW = 65535
 
 #: First and longest time until a segment is sent again, seconds.
-FIRST_TIMEOUT = 0.3
-LONGEST_TIMEOUT = 2.0
+INITIAL_RTO = 0.3
+MAX_RTO = 2.0
 
 #: Retransmissions in a row after which a connection counts as broken.
 MAX_RETRANSMISSIONS = 14
 
 #: Out-of-order segments kept.
-MAX_REORDERED = 64
+MAX_OUT_OF_ORDER = 64
 
 
 class State(Enum):
@@ -62,9 +62,9 @@
     payload: bytes = b""
 
 
-def ahead(a: int, b: int) -> int:
+def sequence_difference(a: int, b: int) -> int:
     """Return how far sequence number a lies after b; negative if before."""
-    return ((a - b + HALF) & MASK) - HALF
+    return ((a - b + HALF_SEQUENCE_SPACE) & SEQUENCE_MASK) - HALF_SEQUENCE_SPACE
 
 
 @dataclass(slots=True, eq=False)
@@ -81,7 +81,7 @@
     buffer: bytearray = field(default_factory=bytearray)
     received: bytearray = field(default_factory=bytearray)
     outbox: list[Segment] = field(default_factory=list)
-    reordered: dict[int, Segment] = field(default_factory=dict)
+    out_of_order: dict[int, Segment] = field(default_factory=dict)
     #: The application asked to close after what is buffered.
     closing: bool = False
     fin_sent: bool = False
@@ -91,24 +91,26 @@
     refusal: bytes = b""
     #: Time of the next retransmission; None while nothing is outstanding.
     retransmit_at: float | None = None
-    timeout: float = FIRST_TIMEOUT
+    rto: float = INITIAL_RTO
     retransmissions: int = 0
 
     @classmethod
-    def connect(cls, first_seq: int, now: float) -> Connection:
+    def connect(cls, initial_seq: int, now: float) -> Connection:
         """Start a connection as a caller."""
-        connection = cls(State.SYN_SENT, (first_seq + 1) & MASK, first_seq)
-        connection.emit(SYN, first_seq)
-        connection.arm(now)
+        connection = cls(State.SYN_SENT, (initial_seq + 1) & SEQUENCE_MASK, initial_seq)
+        connection.emit(SYN, initial_seq)
+        connection.set_timer(now)
         return connection
 
     @classmethod
-    def accept(cls, syn: Segment, first_seq: int, now: float) -> Connection:
+    def accept(cls, syn: Segment, initial_seq: int, now: float) -> Connection:
         """Answer a SYN as a target."""
-        connection = cls(State.SYN_RECEIVED, (first_seq + 1) & MASK, first_seq)
-        connection.expected = (syn.seq + 1) & MASK
-        connection.emit(SYN | ACK, first_seq)
-        connection.arm(now)
+        connection = cls(
+            State.SYN_RECEIVED, (initial_seq + 1) & SEQUENCE_MASK, initial_seq
+        )
+        connection.expected = (syn.seq + 1) & SEQUENCE_MASK
+        connection.emit(SYN | ACK, initial_seq)
+        connection.set_timer(now)
         return connection
 
     def emit(self, flags: int, seq: int, payload: bytes = b"") -> None:
@@ -116,9 +118,9 @@
         ack = self.expected if flags & ACK else 0
         self.outbox.append(Segment(flags, seq, ack, payload))
 
-    def arm(self, now: float) -> None:
+    def set_timer(self, now: float) -> None:
         """Set the retransmission deadline."""
-        self.retransmit_at = now + self.timeout
+        self.retransmit_at = now + self.rto
 
     def take_outbox(self) -> list[Segment]:
         """Return and clear the queued segments."""
@@ -139,18 +141,18 @@
         """Send what the window allows."""
         if self.state is not State.ESTABLISHED or self.fin_sent:
             return
-        sent = ahead(self.next_seq, self.unacknowledged)
+        sent = sequence_difference(self.next_seq, self.unacknowledged)
         while sent < len(self.buffer) and sent < SEND_WINDOW:
             chunk = bytes(self.buffer[sent : sent + SEGMENT_SIZE])
             self.emit(ACK, self.next_seq, chunk)
             sent += len(chunk)
-            self.next_seq = (self.next_seq + len(chunk)) & MASK
+            self.next_seq = (self.next_seq + len(chunk)) & SEQUENCE_MASK
         if self.closing and sent >= len(self.buffer):
             self.emit(FIN | ACK, self.next_seq)
-            self.next_seq = (self.next_seq + 1) & MASK
+            self.next_seq = (self.next_seq + 1) & SEQUENCE_MASK
             self.fin_sent = True
         if self.next_seq != self.unacknowledged and self.retransmit_at is None:
-            self.arm(now)
+            self.set_timer(now)
 
     def receive(self, segment: Segment, now: float) -> None:
         """Handle a segment from the other side."""
@@ -183,7 +185,7 @@
             self.refusal = segment.payload
             self.end(Ending.REFUSED)
         elif segment.flags & SYN:
-            self.expected = (segment.seq + 1) & MASK
+            self.expected = (segment.seq + 1) & SEQUENCE_MASK
             self.establish(segment, now)
             self.emit(ACK, self.next_seq)
             self.push(now)
@@ -192,13 +194,13 @@
         """Enter ESTABLISHED on an acknowledged SYN."""
         self.unacknowledged = segment.ack
         self.state = State.ESTABLISHED
-        self.settle_timer(now)
+        self.restart_timer(now)
 
     def receive_in_syn_received(self, segment: Segment, now: float) -> None:
         """Wait for the caller's acknowledgement of our SYN-ACK."""
         if segment.flags & RST:
             # As Linux does: a half-open connection drops on any number in its window.
-            if 0 <= ahead(segment.seq, self.expected) < RECEIVE_WINDOW:
+            if 0 <= sequence_difference(segment.seq, self.expected) < RECEIVE_WINDOW:
                 self.end(Ending.RESET)
         elif segment.flags & SYN:
             self.emit(SYN | ACK, self.unacknowledged)
@@ -217,59 +219,59 @@
         if segment.flags & SYN or not segment.flags & ACK:
             self.emit(ACK, self.next_seq)
             return
-        if ahead(segment.ack, self.next_seq) > 0:
+        if sequence_difference(segment.ack, self.next_seq) > 0:
             self.emit(ACK, self.next_seq)
             return
-        self.take_acknowledgement(segment, now)
+        self.process_acknowledgement(segment, now)
         if segment.payload or segment.flags & FIN:
-            self.take_data(segment)
+            self.receive_data(segment)
             self.emit(ACK, self.next_seq)
-        elif ahead(segment.seq, self.expected) == -1:
+        elif sequence_difference(segment.seq, self.expected) == -1:
             # A keep-alive. Older bare acknowledgements were only reordered: to
             # answer them too would bounce acknowledgements for ever.
             self.emit(ACK, self.next_seq)
-        self.finish_if_done()
+        self.close_if_finished()
         self.push(now)
 
-    def take_acknowledgement(self, segment: Segment, now: float) -> None:
+    def process_acknowledgement(self, segment: Segment, now: float) -> None:
         """Drop acknowledged bytes from the buffer."""
-        advance = ahead(segment.ack, self.unacknowledged)
+        advance = sequence_difference(segment.ack, self.unacknowledged)
         if advance <= 0:
             return
         self.unacknowledged = segment.ack
         del self.buffer[:advance]
-        self.settle_timer(now)
+        self.restart_timer(now)
 
-    def settle_timer(self, now: float) -> None:
+    def restart_timer(self, now: float) -> None:
         """Restart the retransmission timer after progress."""
-        self.timeout = FIRST_TIMEOUT
+        self.rto = INITIAL_RTO
         self.retransmissions = 0
         self.retransmit_at = None
         if self.unacknowledged != self.next_seq:
-            self.arm(now)
+            self.set_timer(now)
 
-    def take_data(self, segment: Segment) -> None:
+    def receive_data(self, segment: Segment) -> None:
         """Take data in order; keep some that came early."""
-        if ahead(segment.seq, self.expected) > 0:
-            if len(self.reordered) < MAX_REORDERED:
-                self.reordered[segment.seq] = segment
+        if sequence_difference(segment.seq, self.expected) > 0:
+            if len(self.out_of_order) < MAX_OUT_OF_ORDER:
+                self.out_of_order[segment.seq] = segment
             return
-        self.take_in_order(segment)
-        while (early := self.reordered.pop(self.expected, None)) is not None:
-            self.take_in_order(early)
+        self.append_in_order(segment)
+        while (early := self.out_of_order.pop(self.expected, None)) is not None:
+            self.append_in_order(early)
 
-    def take_in_order(self, segment: Segment) -> None:
+    def append_in_order(self, segment: Segment) -> None:
         """Take the new part of a segment that starts at or before `expected`."""
-        skip = ahead(self.expected, segment.seq)
+        skip = sequence_difference(self.expected, segment.seq)
         fresh = segment.payload[skip:]
-        end = (segment.seq + len(segment.payload)) & MASK
+        end = (segment.seq + len(segment.payload)) & SEQUENCE_MASK
         self.received += fresh
-        self.expected = (self.expected + len(fresh)) & MASK
+        self.expected = (self.expected + len(fresh)) & SEQUENCE_MASK
         if segment.flags & FIN and end == self.expected and not self.fin_received:
             self.fin_received = True
-            self.expected = (self.expected + 1) & MASK
+            self.expected = (self.expected + 1) & SEQUENCE_MASK
 
-    def finish_if_done(self) -> None:
+    def close_if_finished(self) -> None:
         """Close once both sides have sent their FIN and ours is acknowledged."""
         done = self.fin_sent and self.unacknowledged == self.next_seq
         if done and self.fin_received:
@@ -289,8 +291,8 @@
         if self.retransmissions > MAX_RETRANSMISSIONS:
             self.end(Ending.TIMED_OUT)
             return
-        self.timeout = min(self.timeout * 2, LONGEST_TIMEOUT)
-        self.arm(now)
+        self.rto = min(self.rto * 2, MAX_RTO)
+        self.set_timer(now)
         self.retransmit()
 
     def retransmit(self) -> None:
@@ -312,4 +314,4 @@
     if segment.flags & ACK:
         return Segment(RST, segment.ack, 0)
     length = len(segment.payload) + bool(segment.flags & (SYN | FIN))
-    return Segment(RST | ACK, 0, (segment.seq + length) & MASK)
+    return Segment(RST | ACK, 0, (segment.seq + length) & SEQUENCE_MASK)
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -24,10 +24,10 @@
 
 
 def verdict(
-    seed: int, seconds: float, kinds: tuple[str, ...]
+    seed: int, seconds: float, fault_kinds: tuple[str, ...]
 ) -> tuple[int, list[str], str]:
     """Run a seed; return it with what was broken and a line about it."""
-    soak = run_seed(seed, seconds, kinds)
+    soak = run_seed(seed, seconds, fault_kinds)
     requests = soak.checker.requests
     served = sum(one.answered_at is not None for one in requests)
     line = f"seed {seed}: {served} of {len(requests)} served; {', '.join(soak.faults)}"
@@ -40,10 +40,10 @@
     seeds = range(FIRST.value, FIRST.value + SEEDS.value)
     failed = []
     with ProcessPoolExecutor(JOBS.value) as pool:
-        kinds = ZONE_FAULTS if ZONES.value else FAULTS
+        fault_kinds = ZONE_FAULTS if ZONES.value else FAULTS
         if RESTORES.value:
-            kinds = RESTORE_FAULTS
-        runs = pool.map(verdict, seeds, repeat(SECONDS.value), repeat(kinds))
+            fault_kinds = RESTORE_FAULTS
+        runs = pool.map(verdict, seeds, repeat(SECONDS.value), repeat(fault_kinds))
         for seed, broken, line in runs:
             print(line, flush=True)
             for text in broken:
--- a/soak/clock.py
+++ b/soak/clock.py
@@ -13,7 +13,7 @@
     from collections.abc import Callable
 
 #: Largest datagram read.
-LARGEST_DATAGRAM = 2048
+MAX_DATAGRAM_BYTES = 2048
 
 
 class RealClock:
@@ -26,8 +26,8 @@
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
         self.started_at = time.monotonic()
-        self.waiting: list[tuple[float, int, Callable[[], None]]] = []
-        self.count = 0
+        self.timers: list[tuple[float, int, Callable[[], None]]] = []
+        self.timer_count = 0
         self.selector = DefaultSelector()
 
     @property
@@ -37,14 +37,14 @@
 
     def at(self, moment: float, run: Callable[[], None]) -> None:
         """Have a function run at a time."""
-        self.count += 1
-        heappush(self.waiting, (moment, self.count, run))
+        self.timer_count += 1
+        heappush(self.timers, (moment, self.timer_count, run))
 
     def after(self, seconds: float, run: Callable[[], None]) -> None:
         """Have a function run after some seconds."""
         self.at(self.now + seconds, run)
 
-    def read(
+    def add_reader(
         self, sock: socket.socket, take: Callable[[bytes, tuple[str, int]], None]
     ) -> None:
         """Hand each datagram of a socket to a function, with its source."""
@@ -54,19 +54,19 @@
     def run_until(self, end: float) -> None:
         """Run everything up to a time."""
         while self.now < end:
-            due = self.waiting[0][0] if self.waiting else end
+            due = self.timers[0][0] if self.timers else end
             for key, _ in self.selector.select(max(0.0, min(due, end) - self.now)):
-                self.drain(*key.data)
-            while self.waiting and self.waiting[0][0] <= self.now:
-                heappop(self.waiting)[2]()
+                self.read_all(*key.data)
+            while self.timers and self.timers[0][0] <= self.now:
+                heappop(self.timers)[2]()
 
-    def drain(
+    def read_all(
         self, sock: socket.socket, take: Callable[[bytes, tuple[str, int]], None]
     ) -> None:
         """Read a socket empty."""
         while True:
             try:
-                data, source = sock.recvfrom(LARGEST_DATAGRAM)
+                data, source = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             take(data, source)
--- a/soak/hosts.py
+++ b/soak/hosts.py
@@ -17,7 +17,7 @@
     from pathlib import Path
 
 #: Seconds until a question to a host counts as unanswered.
-ASK_TIMEOUT = 0.25
+STATE_TIMEOUT = 0.25
 
 #: Bounds in the settings of every host, as the users' installations have them.
 BOUNDS = {"config_apply_ms": 3000, "stable_window_ms": 4000, "grace_s": 6}
@@ -46,7 +46,7 @@
     seeds: list[str] = field(default_factory=list)
     process: subprocess.Popen[bytes] | None = None
     #: Counts starts, to tell one process from the next.
-    boot: int = 0
+    start_count: int = 0
     paused: bool = False
     #: The start at which it was asked for its state, and what it showed.
     last_state: tuple[int, dict[str, Any] | None] = (0, None)
@@ -54,12 +54,12 @@
     stopping: bool = False
 
     @property
-    def readiness(self) -> int:
+    def readiness_port(self) -> int:
         """Return the port of readiness."""
         return self.port + 1
 
     @property
-    def copies(self) -> str:
+    def peer_endpoint(self) -> str:
         """Return the address where peers ask for copies."""
         return f"{self.ip}:{self.port + 2}"
 
@@ -75,7 +75,7 @@
             stderr=log,
         )
         log.close()
-        self.boot += 1
+        self.start_count += 1
         self.paused = self.stopping = False
 
     def settings(self) -> dict[str, Any]:
@@ -85,8 +85,8 @@
             "zone": self.zone,
             "listen_addrs": {
                 "datagram_addr": f"{self.ip}:{self.port}",
-                "ready": f"{self.ip}:{self.readiness}",
-                "control": self.copies,
+                "ready": f"{self.ip}:{self.readiness_port}",
+                "control": self.peer_endpoint,
             },
             "seeds": self.seeds,
             "bounds": BOUNDS,
@@ -123,9 +123,9 @@
 
     def state(self) -> dict[str, Any] | None:
         """Return the state that the host shows, None if it does not answer."""
-        url = f"http://{self.ip}:{self.readiness}/state"
+        url = f"http://{self.ip}:{self.readiness_port}/state"
         try:
-            with urllib.request.urlopen(url, timeout=ASK_TIMEOUT) as answer:
+            with urllib.request.urlopen(url, timeout=STATE_TIMEOUT) as answer:
                 found: dict[str, Any] = json.loads(answer.read())
         except (OSError, ValueError):
             return None
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -11,7 +11,7 @@
 
 #: Bytes passed on at once, and seconds after which a pump looks at the mode again.
 CHUNK = 65536
-LOOK = 0.05
+MODE_CHECK_INTERVAL = 0.05
 
 #: Seconds that a delayed chunk waits.
 DELAY = 0.3
@@ -73,7 +73,7 @@
             if self.mode in (Mode.PASS, Mode.DELAY):
                 close(sink)
 
-    def change(self, mode: Mode) -> None:
+    def set_mode(self, mode: Mode) -> None:
         """Change the mode; a reset closes what is open."""
         self.mode = mode
         if mode is Mode.RESET:
--- a/soak/run.py
+++ b/soak/run.py
@@ -26,7 +26,7 @@
 )
 from citronspring.tcp_flags import RST, SYN
 from soak.clock import RealClock
-from soak.faults import FAULTS, draw_fault
+from soak.faults import FAULTS, inject_random_fault
 from soak.hosts import HostProcess, loopback_net
 from soak.proxy import Proxy
 from soak.store import StoreStandIn, serve
@@ -38,18 +38,18 @@
 PORT = 7700
 
 #: Seconds before traffic, of traffic, and at its end without a new fault.
-LEAD = 2.0
-CALM_END = 7.0
+STARTUP_SECONDS = 2.0
+FAULT_FREE_SECONDS = 7.0
 
 #: Seconds after a fault during which promises with a bound do not hold.
-SETTLING = 4.5
+SETTLING_SECONDS = 4.5
 
 #: Seconds between two looks at the hosts, and callers that start a second.
-LOOK = 0.5
+CHECK_INTERVAL = 0.5
 CALLERS_PER_SECOND = 12.0
 
 #: Share of the last requests that must be served.
-RECOVERED = 0.9
+MIN_SERVED_RATIO = 0.9
 
 
 @dataclass(slots=True)
@@ -70,12 +70,12 @@
     faults: list[str] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
     disturbed_at: float = 0.0
-    seen: dict[tuple[str, int], int] = field(default_factory=dict)
+    highest_revisions: dict[tuple[str, int], int] = field(default_factory=dict)
     ready: set[str] = field(default_factory=set)
     loss: float = 0.0
     changed_at: float = 0.0
     #: Faults that are drawn.
-    kinds: tuple[str, ...] = FAULTS
+    fault_kinds: tuple[str, ...] = FAULTS
     #: Since when operators drain each zone.
     drained_at: dict[str, float] = field(default_factory=dict)
 
@@ -105,14 +105,14 @@
         )
         self.sock.sendto(head + bytes(packet.length), (host.ip, host.port))
 
-    def take_reset(self, data: bytes, source: tuple[str, int]) -> None:
+    def handle_reset(self, data: bytes, source: tuple[str, int]) -> None:
         """Take a reset that a host sends to a caller."""
         seq, _, _, _, caller_port, service_port = HEADER.unpack(data)[:6]
         for caller in self.open_callers():
             if caller.port & 0xFFFF == caller_port and caller.route & 0xFFFF == (
                 service_port
             ):
-                self.judge_reset(caller, source)
+                self.check_reset(caller, source)
                 caller.receive(Reply(caller.flow, RST, seq, 0, 0))
                 return
 
@@ -121,33 +121,37 @@
         callers = reversed(self.checker.callers.values())
         return [caller for caller in callers if caller.state != "closed"]
 
-    def judge_reset(self, caller: EmulatedCaller, source: tuple[str, int]) -> None:
+    def check_reset(self, caller: EmulatedCaller, source: tuple[str, int]) -> None:
         """Judge a reset by what its flow's target knows."""
         owner = self.checker.live_owner(caller.flow)
         if owner is None:
             return
         if not caller.idempotent:
-            self.break_promise(f"an order was reset by {source[0]}")
-        elif self.calm:
-            self.break_promise(f"a flow of {owner.target_id} was reset by {source[0]}")
+            self.record_violation(f"an order was reset by {source[0]}")
+        elif self.is_settled:
+            self.record_violation(
+                f"a flow of {owner.target_id} was reset by {source[0]}"
+            )
 
-    def take_packet(self, target: EmulatedTarget, data: bytes) -> None:
+    def handle_packet(self, target: EmulatedTarget, data: bytes) -> None:
         """Take a datagram at a target's address."""
         packet = decode_packet(data[INCARNATION.size :])
         (incarnation,) = INCARNATION.unpack_from(data)
         if packet.flags & SYN:
-            self.judge_opening(target)
+            self.check_opening(target)
         for caller in reversed(self.checker.callers.values()):
             if same_flow(packet, caller):
                 packet.flow = caller.flow
                 target.receive(packet, incarnation, caller)
                 return
 
-    def judge_opening(self, target: EmulatedTarget) -> None:
+    def check_opening(self, target: EmulatedTarget) -> None:
         """Judge an opening by whether its target's zone is drained."""
         drained_at = self.drained_at.get(target.zone, self.clock.now)
-        if self.calm and self.clock.now - drained_at > SETTLING:
-            self.break_promise(f"{target.target_id} of a drained zone got an opening")
+        if self.is_settled and self.clock.now - drained_at > SETTLING_SECONDS:
+            self.record_violation(
+                f"{target.target_id} of a drained zone got an opening"
+            )
 
     # Parts ---------------------------------------------------------------------------
 
@@ -162,7 +166,9 @@
         sock.bind((f"{loopback_net()}.2", 0))
         self.sockets.append(sock)
         self.targets[incarnation] = target
-        self.clock.read(sock, lambda data, source: self.take_packet(target, data))
+        self.clock.add_reader(
+            sock, lambda data, source: self.handle_packet(target, data)
+        )
         self.ports[incarnation] = sock.getsockname()[1]
         self.register(target)
 
@@ -227,57 +233,59 @@
         pause = self.clock.rng.expovariate(CALLERS_PER_SECOND)
         self.clock.after(pause, lambda: self.start_callers(end))
 
-    def disturb(self) -> None:
+    def mark_disturbed(self) -> None:
         """Note that promises with a bound do not hold for a while."""
         self.disturbed_at = self.clock.now
 
     # Judging -------------------------------------------------------------------------
 
     @property
-    def calm(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether the last fault, or the end of one, is long enough ago."""
-        return self.clock.now - self.disturbed_at >= SETTLING
+        return self.clock.now - self.disturbed_at >= SETTLING_SECONDS
 
-    def break_promise(self, text: str) -> None:
+    def record_violation(self, text: str) -> None:
         """Note a broken promise."""
         self.violations.append(f"{self.clock.now:.2f} s {text}")
 
-    def look(self) -> None:
+    def check_hosts(self) -> None:
         """Ask every host for its state and judge it."""
         self.ready = set()
         for host in self.hosts:
             if not host.alive and not host.stopping:
-                self.break_promise(f"{host.name} ended by itself")
+                self.record_violation(f"{host.name} ended by itself")
                 host.start()
             boot, state = host.last_state
-            if state is not None and boot == host.boot:
-                self.judge_state(host, state)
-        self.clock.after(LOOK, self.look)
+            if state is not None and boot == host.start_count:
+                self.check_state(host, state)
+        self.clock.after(CHECK_INTERVAL, self.check_hosts)
 
-    def judge_state(self, host: HostProcess, state: dict) -> None:
+    def check_state(self, host: HostProcess, state: dict) -> None:
         """Judge what a host has in force."""
         revision = state["configuration"]
         if revision and not state["leaving"]:
             self.ready.add(host.name)
-        key = (host.name, host.boot)
-        if revision < self.seen.get(key, 0):
-            self.break_promise(f"{host.name} fell to revision {revision}")
-        self.seen[key] = max(revision, self.seen.get(key, 0))
-        late = self.clock.now - self.changed_at > SETTLING
-        if self.calm and late and revision < self.revision and not host.stopping:
-            self.break_promise(f"{host.name} is behind at revision {revision}")
-
-    def judge_end(self, end: float) -> None:
+        key = (host.name, host.start_count)
+        if revision < self.highest_revisions.get(key, 0):
+            self.record_violation(f"{host.name} fell to revision {revision}")
+        self.highest_revisions[key] = max(revision, self.highest_revisions.get(key, 0))
+        late = self.clock.now - self.changed_at > SETTLING_SECONDS
+        if self.is_settled and late and revision < self.revision and not host.stopping:
+            self.record_violation(f"{host.name} is behind at revision {revision}")
+
+    def check_last_requests(self, end: float) -> None:
         """Judge whether the last callers were served."""
         last = [
             one for one in self.checker.requests if end - 2.0 <= one.started_at < end
         ]
         served = sum(one.answered_at is not None for one in last)
-        if served < RECOVERED * len(last):
-            self.break_promise(f"{served} of the last {len(last)} requests were served")
+        if served < MIN_SERVED_RATIO * len(last):
+            self.record_violation(
+                f"{served} of the last {len(last)} requests were served"
+            )
 
 
-class Watcher:
+class StatePoller:
     """Asks hosts for their state beside the run.
 
     A host that is paused takes a while not to answer. Asked in the run's own loop, all
@@ -293,9 +301,9 @@
 
     def watch(self) -> None:
         """Ask each host again and again."""
-        while not self.stopped.wait(LOOK / 2):
+        while not self.stopped.wait(CHECK_INTERVAL / 2):
             for host in self.hosts:
-                boot = host.boot
+                boot = host.start_count
                 host.last_state = boot, host.state()
 
     def stop(self) -> None:
@@ -310,7 +318,9 @@
     return caller.port & 0xFFFF == sport and caller.route & 0xFFFF == dport
 
 
-def run_seed(seed: int, seconds: float = 20.0, kinds: tuple[str, ...] = FAULTS) -> Soak:
+def run_seed(
+    seed: int, seconds: float = 20.0, fault_kinds: tuple[str, ...] = FAULTS
+) -> Soak:
     """Run one seed with three host processes; returns what it showed."""
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -327,31 +337,34 @@
             stack.callback(proxy.stop)
             ip = f"{loopback_net()}.{11 + number}"
             hosts.append(HostProcess(f"host-{number}", zone, ip, PORT, folder, proxy))
-        soak = Soak(clock, checker, store, hosts, sock, kinds=kinds)
-        clock.read(sock, soak.take_reset)
-        play(soak, seconds, stack)
+        soak = Soak(clock, checker, store, hosts, sock, fault_kinds=fault_kinds)
+        clock.add_reader(sock, soak.handle_reset)
+        run_scenario(soak, seconds, stack)
     return soak
 
 
-def play(soak: Soak, seconds: float, stack: ExitStack) -> None:
+def run_scenario(soak: Soak, seconds: float, stack: ExitStack) -> None:
     """Start everything, let faults befall it, and judge the end."""
     soak.change_configuration()
     for zone in ZONES:
         soak.add_target("desk", zone)
         soak.add_target("desk", zone)
     for host in soak.hosts:
-        host.seeds = [other.copies for other in soak.hosts]
+        host.seeds = [other.peer_endpoint for other in soak.hosts]
         host.start()
         stack.callback(host.kill)
         stack.callback(host.resume)
     for sock in soak.sockets:
         stack.callback(sock.close)
-    watcher = Watcher(soak.hosts)
+    watcher = StatePoller(soak.hosts)
     stack.callback(watcher.stop)
-    clock, end = soak.clock, LEAD + seconds
-    clock.after(0.8, soak.look)
-    clock.at(LEAD, lambda: soak.start_callers(end))
-    clock.at(LEAD + 2.0, lambda: draw_fault(soak, end - CALM_END - 6.0))
+    clock, end = soak.clock, STARTUP_SECONDS + seconds
+    clock.after(0.8, soak.check_hosts)
+    clock.at(STARTUP_SECONDS, lambda: soak.start_callers(end))
+    clock.at(
+        STARTUP_SECONDS + 2.0,
+        lambda: inject_random_fault(soak, end - FAULT_FREE_SECONDS - 6.0),
+    )
     clock.run_until(end + 2.0)
-    soak.judge_end(end)
+    soak.check_last_requests(end)
     soak.violations += soak.checker.violations
--- a/soak/store.py
+++ b/soak/store.py
@@ -12,13 +12,13 @@
 from urllib.parse import parse_qs, urlsplit
 
 #: Seconds between the pieces of an answer that goes out slowly.
-PIECE_SECONDS = 0.05
+CHUNK_SECONDS = 0.05
 
-OK, MISSING, GONE, CONDITION_FAILED = 200, 404, 410, 412
+OK, NOT_FOUND, GONE, CONDITION_FAILED = 200, 404, 410, 412
 
 
 @dataclass(frozen=True)
-class StoreCopy:
+class StoreBackup:
     """What the store held at one moment."""
 
     revision: int
@@ -41,7 +41,7 @@
         self.values = {}
         self.events = []
         #: HTTP status that every call gets; None to serve.
-        self.refusal = None
+        self.outage_status = None
         #: Bytes a second at which an answer goes out; None for all at once.
         self.rate = None
         self.calls = []
@@ -73,10 +73,10 @@
             self.events.append(event)
             self.changed.notify_all()
 
-    def copy(self):
+    def backup(self):
         """Return a copy of everything, to come back from."""
         with self.changed:
-            return StoreCopy(
+            return StoreBackup(
                 self.revision,
                 dict(self.items),
                 dict(self.values),
@@ -104,14 +104,14 @@
         """Return the headers that stand in all answers."""
         return {"Store-Era": str(self.epoch)}
 
-    def answer(self, url):
+    def handle_read(self, url):
         """Return status and body of a read."""
-        self.end_leases()
+        self.expire_leases()
         parts = urlsplit(url)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         self.calls.append(parts.path)
-        if self.refusal is not None:
-            return self.refusal, {}
+        if self.outage_status is not None:
+            return self.outage_status, {}
         if parts.path == "/api/kv-range":
             items = [self.items[key] for key in sorted(self.items)]
             body = {"items": items, "has_more": False, "store_revision": self.revision}
@@ -121,13 +121,13 @@
             return GONE, {}
         return OK, self.watch(after, wait)
 
-    def change(self, url, body):
+    def handle_change(self, url, body):
         """Return status and body of a call that changes something."""
-        self.end_leases()
+        self.expire_leases()
         path, _, number = url.rpartition("/")
         self.calls.append(url if url.count("/") == 2 else path)
-        if self.refusal is not None:
-            return self.refusal, {}
+        if self.outage_status is not None:
+            return self.outage_status, {}
         with self.changed:
             if url == "/api/kv-lease":
                 return self.grant(body["ttl_ms"])
@@ -135,7 +135,7 @@
                 return self.commit(body)
             lease = int(number)
             if lease not in self.leases:
-                return MISSING, {}
+                return NOT_FOUND, {}
             ttl, _ = self.leases[lease]
             ended = path == "/api/kv-lease-end"
             self.leases[lease] = ttl, monotonic() + (0 if ended else ttl)
@@ -155,12 +155,12 @@
             if found["revision"] != row["revision"]:
                 return CONDITION_FAILED, {"items": [found]}
         if any(write["lease"] not in self.leases for write in body["writes"]):
-            return MISSING, {}
+            return NOT_FOUND, {}
         for write in body["writes"]:
             self.write(write["key"], write["value"], write["lease"])
         return OK, {"revision": self.revision}
 
-    def end_leases(self):
+    def expire_leases(self):
         """End the leases whose time is up, with what was written under them."""
         ended = [one for one, (_, end) in self.leases.items() if end <= monotonic()]
         for lease in ended:
@@ -179,15 +179,15 @@
             return {"events": events, "store_revision": self.revision}
 
 
-def pieces(body, rate):
+def body_chunks(body, rate):
     """Yield a body piece by piece, at a rate in bytes a second."""
     if rate is None:
         yield body
         return
-    size = max(1, int(rate * PIECE_SECONDS))
+    size = max(1, int(rate * CHUNK_SECONDS))
     for start in range(0, len(body), size):
         yield body[start : start + size]
-        sleep(PIECE_SECONDS)
+        sleep(CHUNK_SECONDS)
 
 
 @contextmanager
@@ -198,15 +198,15 @@
         protocol_version = "HTTP/1.1"
 
         def do_GET(self):
-            self.reply(*store.answer(self.path))
+            self.reply(*store.handle_read(self.path))
 
         def do_POST(self):
             length = int(self.headers["Content-Length"] or 0)
             body = json.loads(self.rfile.read(length) or b"{}")
-            self.reply(*store.change(self.path, body))
+            self.reply(*store.handle_change(self.path, body))
 
         def do_DELETE(self):
-            self.reply(*store.change(self.path, {}))
+            self.reply(*store.handle_change(self.path, {}))
 
         def reply(self, status, found):
             body = json.dumps(found).encode()
@@ -215,7 +215,7 @@
             for name, value in store.headers.items():
                 self.send_header(name, value)
             self.end_headers()
-            for piece in pieces(body, store.rate):
+            for piece in body_chunks(body, store.rate):
                 self.wfile.write(piece)
 
         def log_message(self, *args):
--- a/tests/test_benchmarks/test_figures.py
+++ b/tests/test_benchmarks/test_figures.py
@@ -32,7 +32,7 @@
     they do break flows.
     """
     figures = ChurnRun.from_seed(Variant.BALANCER, seed, DURATION).run()
-    assert figures.outcomes == {Outcome.WHOLE: figures.requests}
+    assert figures.outcomes == {Outcome.COMPLETED: figures.requests}
     assert (figures.run_twice, figures.late_work) == (0, 0)
     assert sum(figures.changes.values()) >= 4
     hashed = ChurnRun.from_seed(Variant.HASH_ONLY, seed, DURATION).run()
--- a/tests/test_cli/test_rolling.py
+++ b/tests/test_cli/test_rolling.py
@@ -19,14 +19,14 @@
 from citronspring.standins.loopback import Loopback
 from citronspring.standins.memory import MemoryPlatform
 from citronspring.standins.platform import serve_platform
-from citronspring.standins.service import Outcome, Request, RequestKind
-from citronspring.standins.system import (
-    ACCOUNT_SIZES,
+from citronspring.standins.sample_configuration import (
     SYSTEM_ZONES,
+    TARGETS_PER_ACCOUNT,
     TEMPLATE,
     TEMPLATE_NAME,
     account_parameters,
 )
+from citronspring.standins.service import Outcome, Request, RequestKind
 from citronspring.systems.revisions import PLACEMENT_DELAY
 
 pytestmark = pytest.mark.anyio
@@ -50,7 +50,7 @@
     sessions: list = field(default_factory=list)
 
     async def start_host(self, section, peers):
-        settings = self.system.settings_of(section, peers, self.url)
+        settings = self.system.make_settings(section, peers, self.url)
         path = self.folder / f"{section.id}.toml"
         tables = settings.model_dump(
             mode="json", exclude_none=True, exclude_defaults=True
@@ -86,7 +86,7 @@
 
     def account_file(self, account_id, rate=10_000.0):
         parameters = account_parameters(
-            account_id, ACCOUNT_SIZES[account_id], port=self.system.tunnel_port
+            account_id, TARGETS_PER_ACCOUNT[account_id], port=self.system.tunnel_port
         )
         body = {
             "template": TEMPLATE_NAME,
@@ -100,7 +100,7 @@
         path = self.folder / "template.json"
         path.write_text(json.dumps(TEMPLATE))
         assert (await self.change("template", "put", str(path)))[0] == 0
-        for account_id in ACCOUNT_SIZES:
+        for account_id in TARGETS_PER_ACCOUNT:
             put = ("account", "put", account_id, self.account_file(account_id))
             code, text = await self.change(*put)
             assert code == 0, text
@@ -145,7 +145,7 @@
         system = Loopback(group, rng, SYSTEM_ZONES)
         rolling = Rolling(system, url, tmp_path)
         await system.start()
-        sections = system.describe_hosts(6)
+        sections = system.make_host_sections(6)
         try:
             for section in sections[:3]:
                 await rolling.start_host(section, sections[:3])
@@ -195,7 +195,7 @@
     assert sorted(code for code, _ in operators) == [0, 5]
     assert set(outcomes) <= {"whole", "refused"}, outcomes
     assert outcomes["whole"] > outcomes["refused"]
-    runs = Counter(request_id for request_id, _ in system.ran)
+    runs = Counter(request_id for request_id, _ in system.executed)
     assert max(runs.values()) == 1
     refused = [
         session.request.request_id
--- a/tests/test_configuration/test_restores.py
+++ b/tests/test_configuration/test_restores.py
@@ -31,7 +31,7 @@
     Diverged histories cannot be merged, so the accepted change would be lost for good.
     """
     platform = make_platform()
-    copy = platform.copy()
+    copy = platform.backup()
     store = make_store(platform)
     call(store.commit(put("1-a"), 0.0))
     platform.restore(copy)
@@ -48,7 +48,7 @@
 def test_restore_grace_period_ends_with_the_first_commit():
     """A process that starts a minute after the restore commits without waiting."""
     platform = make_platform()
-    platform.restore(platform.copy())
+    platform.restore(platform.backup())
     commit_after_grace_period(make_store(platform), put("1-a"))
     made = call(make_store(platform).commit(put("2-b", limit=9), 60.0))
     assert made.revision == revision_of(platform)
@@ -60,7 +60,7 @@
     Unless it is rewritten, hosts that start later read the older configuration.
     """
     platform = make_platform()
-    copy = platform.copy()
+    copy = platform.backup()
     store = make_store(platform)
     accepted = call(store.commit(put("1-a", targets=[target(1)]), 0.0))
     platform.restore(copy)
@@ -73,7 +73,7 @@
 
 def test_change_retried_after_a_restore_is_committed_once():
     platform = make_platform()
-    copy = platform.copy()
+    copy = platform.backup()
     store = make_store(platform)
     accepted = call(store.commit(put("1-a"), 0.0))
     platform.restore(copy)
@@ -84,7 +84,7 @@
 def test_process_without_definitions_keeps_its_configuration():
     """A host only has rendered accounts, from which it cannot rewrite a lost change."""
     platform = make_platform()
-    copy = platform.copy()
+    copy = platform.backup()
     call(make_store(platform).commit(put("1-a"), 0.0))
     host = make_store(platform)
     call(host.read_snapshot())
@@ -101,7 +101,7 @@
     never read the new one.
     """
     platform = make_platform()
-    copy = platform.copy()
+    copy = platform.backup()
     lost = call(make_store(platform).commit(put("1-a"), 0.0))
     platform.restore(copy)
     other = make_store(platform)
@@ -121,7 +121,7 @@
     Rewriting them then would overwrite the change accepted in the meantime.
     """
     platform = make_platform()
-    copy = platform.copy()
+    copy = platform.backup()
     store = make_store(platform)
     call(store.commit(put("1-a"), 0.0))
     platform.restore(copy)
@@ -138,7 +138,7 @@
     If the swap succeeded on the reused version, another process's commit would be lost.
     """
     platform = make_platform()
-    copy = platform.copy()
+    copy = platform.backup()
     call(make_store(platform).commit(put("1-a"), 0.0))
     late = SteppedCall(
         make_store(platform).commit(put("2-l", account_id="late", ip="192.0.2.9"), 0.0)
--- a/tests/test_daemons/test_control.py
+++ b/tests/test_daemons/test_control.py
@@ -27,10 +27,10 @@
 
 async def start_hosts(group, sources):
     system = Loopback(group, random.Random(1), ZONES)
-    sections = system.describe_hosts(len(sources))
+    sections = system.make_host_sections(len(sources))
     daemons = []
     for section, source in zip(sections, sources, strict=True):
-        settings = system.settings_of(section, sections, "http://127.0.0.1:1")
+        settings = system.make_settings(section, sections, "http://127.0.0.1:1")
         daemons.append(HostDaemon.from_settings(settings, source))
         await group.start(daemons[-1].run)
     return daemons
--- a/tests/test_daemons/test_host.py
+++ b/tests/test_daemons/test_host.py
@@ -20,9 +20,9 @@
         system = Loopback(group, random.Random(1), ZONES)
         await system.start()
         await system.add_targets(snapshot)
-        sections = system.describe_hosts(3)
+        sections = system.make_host_sections(3)
         for section in sections:
-            settings = system.settings_of(section, sections, "http://127.0.0.1:1")
+            settings = system.make_settings(section, sections, "http://127.0.0.1:1")
             daemon = HostDaemon.from_settings(settings, StaticConfiguration(snapshot))
             await system.add_host(daemon)
         address = snapshot.accounts[0].addresses[0]
@@ -38,5 +38,5 @@
             while any(session.outcome is None for session in sessions):
                 await anyio.sleep(0.02)
         group.cancel_scope.cancel()
-    assert [session.outcome for session in sessions] == [Outcome.WHOLE] * 2
-    assert sorted(request for request, _ in system.ran) == ["preview", "upload"]
+    assert [session.outcome for session in sessions] == [Outcome.COMPLETED] * 2
+    assert sorted(request for request, _ in system.executed) == ["preview", "upload"]
--- a/tests/test_daemons/test_prober.py
+++ b/tests/test_daemons/test_prober.py
@@ -46,7 +46,7 @@
     healths = {
         "sound": HealthEndpoint(read_load=lambda: 0.5),
         "sick": HealthEndpoint(is_healthy=lambda: False),
-        "liar": HealthEndpoint(lie=True),
+        "liar": HealthEndpoint(inverted=True),
     }
     results = {item.target_id: item for item in await probe_all(healths)}
     assert results["sound"] == ProbeResult("sound", True, 0.5)
@@ -122,7 +122,7 @@
     """The answer of a target's health endpoint reaches the host's core."""
     async with anyio.create_task_group() as group:
         health_endpoint = await group.start(
-            serve_health, HealthEndpoint(lie=True), ANY_PORT
+            serve_health, HealthEndpoint(inverted=True), ANY_PORT
         )
         [first, *others] = snapshot.accounts[0].targets
         account = with_targets(
--- a/tests/test_daemons/test_signals.py
+++ b/tests/test_daemons/test_signals.py
@@ -25,8 +25,8 @@
     """
     async with anyio.create_task_group() as group:
         system = Loopback(group, random.Random(1), ZONES)
-        (section,) = system.describe_hosts(1)
-        settings = system.settings_of(section, [section], "http://127.0.0.1:1")
+        (section,) = system.make_host_sections(1)
+        settings = system.make_settings(section, [section], "http://127.0.0.1:1")
         daemon = HostDaemon.from_settings(settings, StaticConfiguration(snapshot))
         await group.start(daemon.run)
         await group.start(watch_signals, daemon)
--- a/tests/test_key_value/test_http.py
+++ b/tests/test_key_value/test_http.py
@@ -184,7 +184,7 @@
         endpoint = await group.start(serve_platform, platform, Endpoint("127.0.0.1", 0))
         client = PlatformClient.from_url(f"http://{endpoint}")
         watchers.start_soon(watch, client)
-        while platform.written is None:
+        while platform.write_event is None:
             await anyio.sleep(0.01)
         group.cancel_scope.cancel()
     await client.aclose()
@@ -197,7 +197,7 @@
     platform = MemoryPlatform()
     async with client_of(platform) as client:
         await client.put("head", b"one", ABSENT)
-        copy = platform.copy()
+        copy = platform.backup()
         lost = await client.put("head", b"lost", 1)
         platform.restore(copy)
         before = await client.get("head")
@@ -216,7 +216,7 @@
     platform = MemoryPlatform()
     async with client_of(platform) as client:
         await client.put("head", b"one", ABSENT)
-        copy = platform.copy()
+        copy = platform.backup()
         lost = await client.put("head", b"lost", 1)
         platform.restore(copy)
         with anyio.fail_after(1.0):
--- a/tests/test_platform/test_process.py
+++ b/tests/test_platform/test_process.py
@@ -71,11 +71,11 @@
 
 def test_starts_while_the_store_refuses_it(host):
     """The store refuses a starting host, then serves it; the host becomes ready."""
-    host.store.refusal = 503
+    host.store.outage_status = 503
     host.configure()
     assert eventually(lambda: len(host.store.calls) > 3)
     assert host.status() == 503
-    host.store.refusal = None
+    host.store.outage_status = None
     assert eventually(lambda: host.status() == 200)
     assert eventually(lambda: host.logged("store-lost"))
 
@@ -263,7 +263,7 @@
     folder.mkdir()
     other = Host(folder)
     other.seeds = [f"{serving.ip}:{COPIES}"]
-    serving.store.refusal = 503
+    serving.store.outage_status = 503
     other.start(serving.store_port)
     try:
         assert eventually(lambda: other.status() == 200)
--- a/tests/test_platform/test_store_restore.py
+++ b/tests/test_platform/test_store_restore.py
@@ -60,7 +60,7 @@
 
     def ask(self, call):
         request = PLATFORM_ADAPTER.encode_call(call)
-        status, found = self.store.answer(request.target)
+        status, found = self.store.handle_read(request.target)
         headers = {
             name.lower().encode(): value.encode()
             for name, value in self.store.headers.items()
@@ -113,7 +113,7 @@
 
 def backup_before(store, *versions):
     """Return a backup made before the given configurations are written."""
-    copy = store.copy()
+    copy = store.backup()
     for version in versions:
         store.configure(version)
     return copy
@@ -177,7 +177,7 @@
 
 def host_after_target_loss(store):
     """Return a host that knows targets which the restored store lacks."""
-    copy = store.copy()
+    copy = store.backup()
     for name in STARTED:
         store.register(name)
     host = start(store)
@@ -221,7 +221,7 @@
     host = start(store)
     store.register(LEAVING, state="draining")
     store.delete(f"servers/{LEAVING}")
-    store.restore(store.copy())
+    store.restore(store.backup())
     host.run(CALLS_TO_CONVERGE)
     assert host.usable() == {STAYING, *STARTED}
 
@@ -232,7 +232,7 @@
     The older entry of the target must be ignored although its revision is newer.
     """
     host = start(store)
-    copy = store.copy()
+    copy = store.backup()
     store.register(LEAVING, state="draining", seq=50)
     host.run(1)
     store.restore(copy)
@@ -246,7 +246,7 @@
     store.register(STAYING, warmup_left_ms=1500, seq=4)
     host = start(store)
     host.wait(2.0)
-    copy = store.copy()
+    copy = store.backup()
     store.configure(12)
     host.run(1)
     store.restore(copy)
@@ -258,7 +258,7 @@
     """A new process numbers its entries from the start, so its sequence is smaller."""
     host = start(store)
     store.register(STAYING, seq=1, born=8, slots=2)
-    copy = store.copy()
+    copy = store.backup()
     store.restore(copy)
     host.run(CALLS_TO_CONVERGE)
     assert host.tables.targets[STAYING].target.started == 8
@@ -269,7 +269,7 @@
 
     Operators repeat the drain, but a host cannot know when.
     """
-    copy = store.copy()
+    copy = store.backup()
     store.put("op/evacuate/south", {})
     host = start(store)
     store.restore(copy)
@@ -281,7 +281,7 @@
 
 
 def test_rewritten_drain_stays_in_force(store):
-    copy = store.copy()
+    copy = store.backup()
     store.put("op/evacuate/south", {})
     host = start(store)
     store.restore(copy)
@@ -324,7 +324,7 @@
     A target that had registered again is missing once more. With the time counted from
     the first restore, it was declared gone, and its flows were reset.
     """
-    copy = store.copy()
+    copy = store.backup()
     store.register(STARTED[0])
     host = start(store)
     store.restore(copy)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -31,7 +31,7 @@
     return soak.violations, soak.faults, len(soak.checker.requests)
 
 
-def test_promises_hold_for_real_processes():
+def test_guarantees_hold_for_real_processes():
     with ProcessPoolExecutor(JOBS) as pool:
         for broken, faults, requests in pool.map(verdict, (0, *KEPT_SEEDS)):
             assert broken == [], faults
@@ -39,7 +39,7 @@
             assert requests > 100
 
 
-def test_promises_hold_when_the_store_comes_back_from_an_older_copy():
+def test_guarantees_hold_after_restores_of_the_store():
     with ProcessPoolExecutor(JOBS) as pool:
         runs = pool.map(verdict, RESTORE_SEEDS, repeat(RESTORE_FAULTS))
         for broken, faults, requests in runs:
--- a/tests/test_standins/test_memory.py
+++ b/tests/test_standins/test_memory.py
@@ -30,7 +30,7 @@
     assert (stored.value, stored.version) == (b"two", second)
 
 
-async def test_a_key_made_again_does_not_repeat_its_versions():
+async def test_recreated_key_gets_a_higher_version():
     """A writer still holds the version of a key that was deleted and made again.
 
     Were versions to start again, its compare-and-swap would succeed on a value
@@ -51,7 +51,7 @@
     assert await platform.get("key") is None
 
 
-async def test_lost_answer_and_lost_request_look_alike():
+async def test_lost_answer_and_lost_request_raise_the_same_error():
     """A writer gets no answer, once after the effect and once before it.
 
     The errors are the same, so only reading can tell what happened.
@@ -120,7 +120,7 @@
         await platform.get("key")
 
 
-async def test_host_list_lags():
+async def test_stale_host_list_returns_the_old_hosts():
     platform = MemoryPlatform()
     platform.set_hosts(frozenset({"a"}), frozenset())
     platform.set_switches(Switches(stale_hosts=True))
@@ -130,7 +130,7 @@
     assert (await platform.list_hosts()).live == {"b"}
 
 
-async def test_delay_goes_through_the_given_sleep():
+async def test_delay_uses_the_injected_sleep():
     naps = []
 
     async def sleep(seconds):
@@ -141,7 +141,7 @@
     assert naps == [3.0]
 
 
-async def test_every_call_is_counted_failed_ones_too():
+async def test_failed_calls_are_counted_too():
     counting = CountingPlatform(MemoryPlatform())
     version = await counting.put("key", b"four", ABSENT)
     with pytest.raises(VersionMismatchError):
--- a/tests/test_systems/cluster.py
+++ b/tests/test_systems/cluster.py
@@ -29,11 +29,11 @@
     reads: list = field(default_factory=list)
 
     @classmethod
-    def of(cls, count=9, seed=1, loss=0.0, duplication=0.0, longest=0.003):
-        quality = LinkQuality(loss=loss, duplication=duplication, longest=longest)
+    def of(cls, count=9, seed=1, loss=0.0, duplication=0.0, max_delay=0.003):
+        quality = LinkQuality(loss=loss, duplication=duplication, max_delay=max_delay)
         network = Network(random.Random(seed), quality)
         cluster = cls(network, [make_host(index) for index in range(count)])
-        network.perform_other = cluster.perform
+        network.other_action_handler = cluster.perform
         network.observers.append(cluster.check_revision)
         cluster.commit()
         for host in cluster.hosts:
@@ -46,8 +46,8 @@
         seeds = [item for item in self.hosts[:4] if item is not host][:3]
         core = Balancer.from_config(host, seeds, incarnation=incarnation)
         self.revisions[host_id] = 0
-        if host_id in self.network.sprayed:
-            self.network.sprayed.remove(host_id)
+        if host_id in self.network.fabric_hosts:
+            self.network.fabric_hosts.remove(host_id)
         self.network.add_host(core)
         return core
 
@@ -73,7 +73,7 @@
             event = SnapshotRead(Snapshot(len(known), (known[-1].account,)))
         else:
             event = RecordsRead(tuple(known[action.revision :]))
-        self.network.after(0.01, lambda: self.network.give(host_id, event))
+        self.network.after(0.01, lambda: self.network.deliver_event(host_id, event))
 
     def read_now(self, host_id):
         """Let one host read the platform, as its watch would."""
--- a/tests/test_systems/test_fence.py
+++ b/tests/test_systems/test_fence.py
@@ -32,15 +32,16 @@
     cluster.network.observers.append(
         lambda name, action: drops.append(name) if fenced(action) else None
     )
-    cluster.network.arrive(
-        "host-5", lambda: cluster.network.give("host-5", driver.syn(driver.flow_to()))
+    cluster.network.deliver_or_hold(
+        "host-5",
+        lambda: cluster.network.deliver_event("host-5", driver.syn(driver.flow_to())),
     )
-    cluster.network.wake("host-5")
+    cluster.network.unfreeze("host-5")
     assert drops == ["host-5"]
     assert core.tables.flows.rows == {}
     cluster.run_until(lambda: core.tables.fence.until is None, 1.0)
     assert core.tables.revision == 2
-    cluster.network.give("host-5", driver.syn(driver.flow_to()))
+    cluster.network.deliver_event("host-5", driver.syn(driver.flow_to()))
     assert drops == ["host-5"]
     cluster.run_until(cluster.all_alive, 4.0)
 
--- a/tests/test_systems/test_membership.py
+++ b/tests/test_systems/test_membership.py
@@ -67,7 +67,7 @@
     """
     cluster = settled()
     first, second, _ = (host.zone for host in cluster.hosts[:3])
-    cluster.network.cuts = {frozenset((first, second))}
+    cluster.network.partitions = {frozenset((first, second))}
     cluster.run(30.0)
     assert cluster.counted("membership.died") == 0
     assert cluster.counted("membership.suspected") < 60
@@ -128,7 +128,7 @@
     cluster = settled()
     update = HostUpdate("host-5", HostState.SUSPECT, 1)
     event = ControlReceived("host-1", Ping(1, 1, (update,)))
-    cluster.network.give("host-2", event)
+    cluster.network.deliver_event("host-2", event)
     assert cluster.core("host-2").tables.hosts["host-5"].state is HostState.SUSPECT
     assert "host-5" in cluster.core("host-2").tables.owners.members
     cluster.run(1.4)
@@ -213,7 +213,9 @@
     cluster.start("host-6", 1000)
     assert cluster.run_until(cluster.all_alive, 4.0) <= 4.0
     update = HostUpdate("host-6", HostState.DEAD, 1)
-    cluster.network.give("host-2", ControlReceived("host-1", Ping(1, 1, (update,))))
+    cluster.network.deliver_event(
+        "host-2", ControlReceived("host-1", Ping(1, 1, (update,)))
+    )
     assert cluster.core("host-2").tables.hosts["host-6"].state is HostState.ALIVE
 
 
@@ -247,7 +249,7 @@
     zone = cluster.hosts[0].zone
     inside = {host.host_id for host in cluster.hosts if host.zone == zone}
     others = {host.zone for host in cluster.hosts} - {zone}
-    cluster.network.cuts = {frozenset((zone, other)) for other in others}
+    cluster.network.partitions = {frozenset((zone, other)) for other in others}
     cluster.run(10.0)
     cluster.commit()
     cluster.read_now("host-1")
@@ -257,7 +259,7 @@
             inside if name in inside else set(cluster.network.hosts) - inside
         )
     cluster.platform_up = False
-    cluster.network.cuts = set()
+    cluster.network.partitions = set()
     agreed = lambda: cluster.all_alive() and cluster.agreed()  # noqa: E731
     assert cluster.run_until(agreed, 5.0) <= 4.0
 
@@ -294,7 +296,7 @@
     cluster.run_until(lambda: cluster.states_of("host-8") == {HostState.DEAD}, 5.0)
     event = HostListRead(frozenset({"host-0"}), frozenset())
     for name in cluster.network.hosts:
-        cluster.network.give(name, event)
+        cluster.network.deliver_event(name, event)
     assert cluster.all_alive()
     cluster.run(61.0)
     assert cluster.states_of("host-8") == {None}
--- a/tests/test_systems/test_replication.py
+++ b/tests/test_systems/test_replication.py
@@ -58,7 +58,7 @@
     it.
     """
     # So slow that hosts suspect each other, which must not delay changes.
-    cluster = Cluster.of(seed=seed, loss=0.1, duplication=0.1, longest=0.4)
+    cluster = Cluster.of(seed=seed, loss=0.1, duplication=0.1, max_delay=0.4)
     cluster.run(SETTLE)
     assert cluster.agreed()
     for targets in (9, 5, 40, 3):
@@ -117,14 +117,14 @@
     """
     cluster = settled(count=3)
     cluster.network.freeze("host-2")
-    cluster.network.waiting["host-2"] = []
+    cluster.network.held_deliveries["host-2"] = []
     for _ in range(300):
         cluster.commit()
     cluster.read_now("host-0")
     cluster.run(8.0)
     cluster.platform_up = False
-    cluster.network.waiting["host-2"] = []
-    cluster.network.wake("host-2")
+    cluster.network.held_deliveries["host-2"] = []
+    cluster.network.unfreeze("host-2")
     cluster.run_until(cluster.agreed, 5.0)
 
 
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -19,8 +19,8 @@
 from citronspring.standins.loopback import Loopback
 from citronspring.standins.memory import MemoryPlatform
 from citronspring.standins.platform import serve_platform
+from citronspring.standins.sample_configuration import SYSTEM_ZONES, Operator
 from citronspring.standins.service import Outcome, Request, RequestKind
-from citronspring.standins.system import SYSTEM_ZONES, Operator
 
 pytestmark = pytest.mark.anyio
 
@@ -29,7 +29,7 @@
 
 
 def write_settings(path, system, section, sections, url):
-    settings = system.settings_of(section, sections, url)
+    settings = system.make_settings(section, sections, url)
     tables = settings.model_dump(mode="json", exclude_none=True, exclude_defaults=True)
     path.write_text(tomli_w.dumps(tables))
     return path
@@ -56,7 +56,7 @@
             snapshot = await store.read_snapshot()
         await system.start()
         await system.add_targets(snapshot)
-        sections = system.describe_hosts(3)
+        sections = system.make_host_sections(3)
         processes = [
             start_host(
                 write_settings(tmp_path / section.id, system, section, sections, url)
@@ -83,5 +83,5 @@
             for process in processes:
                 process.kill()
         group.cancel_scope.cancel()
-    assert [session.outcome for session in sessions] == [Outcome.WHOLE] * 2
+    assert [session.outcome for session in sessions] == [Outcome.COMPLETED] * 2
     assert codes == [0, 0, 0]
