--- a/benchmarks/balance.py
+++ b/benchmarks/balance.py
@@ -48,8 +48,8 @@
         return f"{self.hosts}x{self.targets}"
 
 
-TODAY = Sizes(6, 7)
-GROWN = Sizes(30, 200)
+CURRENT_SIZES = Sizes(6, 7)
+LARGE_SIZES = Sizes(30, 200)
 
 
 @dataclass(slots=True)
@@ -60,7 +60,7 @@
     rng: random.Random
     cores: dict[str, Balancer] = field(default_factory=dict)
     #: Live flows, with target and the first-ranked target.
-    live: list[tuple[FlowKey, str, str]] = field(default_factory=list)
+    live_flows: list[tuple[FlowKey, str, str]] = field(default_factory=list)
     opened: int = 0
 
     @classmethod
@@ -93,13 +93,16 @@
         core = self.owner_of(flow)
         account = next(iter(core.tables.accounts.values()))
         hashed = rank_targets(flow, account.targets)[0].target.target_id
-        self.live.append((flow, open_flow(core, flow, self.now), hashed))
+        self.live_flows.append((flow, open_flow(core, flow, self.now), hashed))
 
     def close_one(self) -> None:
         """Close one of the live flows."""
-        index = self.rng.randrange(len(self.live))
-        self.live[index], self.live[-1] = self.live[-1], self.live[index]
-        flow, target_id, _ = self.live.pop()
+        index = self.rng.randrange(len(self.live_flows))
+        self.live_flows[index], self.live_flows[-1] = (
+            self.live_flows[-1],
+            self.live_flows[index],
+        )
+        flow, target_id, _ = self.live_flows.pop()
         close_flow(self.owner_of(flow), flow, target_id, self.now)
 
     def run(self) -> tuple[float, float]:
@@ -121,9 +124,9 @@
 
         A tick would also run membership, which finds nobody here.
         """
-        mean = len(self.live) / self.sizes.targets
-        ours.append(max(Counter(item[1] for item in self.live).values()) / mean)
-        hashed.append(max(Counter(item[2] for item in self.live).values()) / mean)
+        mean = len(self.live_flows) / self.sizes.targets
+        ours.append(max(Counter(item[1] for item in self.live_flows).values()) / mean)
+        hashed.append(max(Counter(item[2] for item in self.live_flows).values()) / mean)
         for core in self.cores.values():
             expire_flows(core.tables, self.now)
 
@@ -135,10 +138,10 @@
 
 def run() -> list[Result]:
     """Measure today's and grown sizes."""
-    jobs = [(sizes, seed) for sizes in (TODAY, GROWN) for seed in SEEDS]
+    jobs = [(sizes, seed) for sizes in (CURRENT_SIZES, LARGE_SIZES) for seed in SEEDS]
     figures = dict(zip(jobs, run_jobs(measure, jobs), strict=True))
     rows = []
-    for sizes in (TODAY, GROWN):
+    for sizes in (CURRENT_SIZES, LARGE_SIZES):
         ours = sum(figures[sizes, seed][0] for seed in SEEDS) / len(SEEDS)
         hashed = sum(figures[sizes, seed][1] for seed in SEEDS) / len(SEEDS)
         rows.append(make_row(sizes, round(ours, 4), round(hashed, 4)))
@@ -148,7 +151,7 @@
 def make_row(sizes: Sizes, ours: float, hashed: float) -> Result:
     """Return the row of one size; only today's has a bound."""
     name = f"balance.imbalance_{sizes}"
-    if sizes is not TODAY:
+    if sizes is not CURRENT_SIZES:
         return Result(name, ours, "max/mean", hashed, command=COMMAND)
     return Result.at_most(
         name, ours, "max/mean", BOUND, baseline=hashed, command=COMMAND
--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -32,7 +32,7 @@
     from citronspring.tables import TargetRow
 
 #: Seconds without a packet after which a leaving host stops.
-QUIET_TIME = 2.0
+IDLE_STOP_DELAY = 2.0
 
 MAX_FLOWS = 1_000_000
 
@@ -72,31 +72,31 @@
                 return self.route(event.packet, event.target_id)
             case RelayReceived(packet=packet) if packet is not None:
                 tables.last_packet_at = now
-                return self.decide(packet, event.source)
+                return self.forward(packet, event.source)
         return []
 
     def route(self, packet: Packet, source: str | None) -> list[Action]:
         """Route a packet from the fabric or a target."""
-        return self.decide(packet, source)
+        return self.forward(packet, source)
 
-    def decide(self, packet: Packet, source: str | None) -> list[Action]:
+    def forward(self, packet: Packet, source: str | None) -> list[Action]:
         """Pass an answer on, and a caller's packet to the first active target."""
         if not packet.from_caller:
             return [SendToCaller(packet)]
-        target = self.first_active(packet.flow)
+        target = self.highest_ranked_target(packet.flow)
         if target is None:
             return [Drop(DropReason.UNKNOWN_SERVICE)]
         return [SendToTarget(target.target.target_id, packet)]
 
-    def active(self, flow: FlowKey) -> list[TargetRow]:
+    def active_targets(self, flow: FlowKey) -> list[TargetRow]:
         """Return the targets that take new flows of a flow's client account."""
         account = self.tables.services.get(service_key_of(flow))
         rows = [] if account is None else account.targets
         return [row for row in rows if row.target.leaving_revision is None]
 
-    def first_active(self, flow: FlowKey) -> TargetRow | None:
+    def highest_ranked_target(self, flow: FlowKey) -> TargetRow | None:
         """Return the highest-ranked active target."""
-        rows = self.active(flow)
+        rows = self.active_targets(flow)
         return max(rows, key=lambda row: score(flow, row.seed), default=None)
 
     def tick(self, now: float) -> list[Action]:
@@ -105,7 +105,7 @@
         update_owners(tables, now)
         if tables.leave_deadline is None:
             return []
-        quiet = now - tables.last_packet_at >= QUIET_TIME
+        quiet = now - tables.last_packet_at >= IDLE_STOP_DELAY
         return [Stopped()] if quiet or now >= tables.leave_deadline else []
 
 
@@ -128,10 +128,10 @@
             return [SendToCaller(packet)]
         owner = self.tables.owners.owner_and_backup(packet.flow)[0]
         if owner is None or owner == self.tables.host_id:
-            return self.decide(packet, source)
+            return self.forward(packet, source)
         return [Relay(RelayKind.TO_OWNER, owner, packet.flow, packet, source)]
 
-    def decide(self, packet: Packet, source: str | None) -> list[Action]:
+    def forward(self, packet: Packet, source: str | None) -> list[Action]:
         """Send a caller's packet to the target in the table."""
         target = self.flows.get(packet.flow)
         if target is None:
@@ -144,7 +144,7 @@
 
     def place(self, packet: Packet) -> TargetRow | None:
         """Bind a new flow to the least loaded target, an unknown one by its hash."""
-        rows = self.active(packet.flow)
+        rows = self.active_targets(packet.flow)
         if not rows:
             return None
         if packet.flags & SYN:
--- a/benchmarks/churn.py
+++ b/benchmarks/churn.py
@@ -28,21 +28,21 @@
 #: Virtual seconds in which requests start and things change.
 DURATION = 120.0
 #: Virtual seconds after that, in which every request ends.
-SETTLING = 120.0
+SETTLING_TIME = 120.0
 CHANGE_INTERVAL = 6.0
 REQUESTS_PER_SECOND = 58.5
 #: Bytes a second of a body, two segments.
 BODY_RATE = 1024.0
 
 #: Shares of requests, and the mean seconds that they last.
-LENGTHS = ((0.70, 1.5), (0.25, 10.0), (0.05, 45.0))
-LONGEST = 90.0
+DURATION_MIX = ((0.70, 1.5), (0.25, 10.0), (0.05, 45.0))
+MAX_REQUEST_TIME = 90.0
 
 #: Seconds after which a leaving target must get no new work.
 LEAVING_GRACE = 4.0
 
-FEWEST_HOSTS, MOST_HOSTS = 4, 9
-FEWEST_TARGETS, MOST_TARGETS = 4, 10
+MIN_HOSTS, MAX_HOSTS = 4, 9
+MIN_TARGETS, MAX_TARGETS = 4, 10
 
 
 class Variant(Enum):
@@ -53,7 +53,7 @@
     TABLE_ONLY = "table-only"
 
 
-MAKERS = {
+CORE_FACTORIES = {
     Variant.BALANCER: Balancer.from_config,
     Variant.HASH_ONLY: HashOnly.from_config,
     Variant.TABLE_ONLY: TableOnly.from_config,
@@ -93,25 +93,25 @@
         cls, variant: Variant, seed: int, duration: float = DURATION
     ) -> ChurnRun:
         """Make a run of a variant."""
-        world = World.from_sizes(MAKERS[variant], seed, HOSTS, TARGETS)
+        world = World.from_sizes(CORE_FACTORIES[variant], seed, HOSTS, TARGETS)
         return cls(world, random.Random(f"requests {seed}"), duration)
 
     def run(self) -> ChurnFigures:
         """Let the time pass and return the figures."""
         network = self.world.network
-        network.after(0.0, self.arrive)
-        network.after(CHANGE_INTERVAL, self.change)
-        network.run_until(self.duration + SETTLING)
+        network.after(0.0, self.start_request)
+        network.after(CHANGE_INTERVAL, self.make_change)
+        network.run_until(self.duration + SETTLING_TIME)
         return self.collect()
 
-    def arrive(self) -> None:
+    def start_request(self) -> None:
         """Start a request, and arrange the next."""
         network = self.world.network
         flow = self.next_flow()
         network.start_request(flow, self.next_request())
         gap = self.rng.expovariate(REQUESTS_PER_SECOND)
         if network.now + gap < self.duration:
-            network.after(gap, self.arrive)
+            network.after(gap, self.start_request)
 
     def next_flow(self) -> FlowKey:
         """Return a five-tuple that no earlier request had."""
@@ -123,29 +123,29 @@
     def next_request(self) -> Request:
         """Return a request of a random kind and length."""
         kind = self.rng.choice(list(RequestKind))
-        shares = [share for share, _ in LENGTHS]
-        [(_, mean)] = self.rng.choices(LENGTHS, shares)
-        seconds = min(LONGEST, self.rng.expovariate(1.0 / mean))
+        shares = [share for share, _ in DURATION_MIX]
+        [(_, mean)] = self.rng.choices(DURATION_MIX, shares)
+        seconds = min(MAX_REQUEST_TIME, self.rng.expovariate(1.0 / mean))
         size = int(seconds * BODY_RATE)
         return Request(f"request-{self.requests}", kind, size, BODY_RATE)
 
-    def change(self) -> None:
+    def make_change(self) -> None:
         """Make one change that the sizes allow, and arrange the next."""
         world = self.world
         possible = []
-        if len(world.live) > FEWEST_HOSTS:
+        if len(world.live_hosts) > MIN_HOSTS:
             possible += [world.kill_host, world.leave_host]
-        if len(world.live) < MOST_HOSTS:
+        if len(world.live_hosts) < MAX_HOSTS:
             possible.append(world.join_host)
-        if len(world.active) > FEWEST_TARGETS:
+        if len(world.active_targets) > MIN_TARGETS:
             possible.append(world.leave_target)
-        if len(world.active) < MOST_TARGETS:
+        if len(world.active_targets) < MAX_TARGETS:
             possible.append(world.add_target)
         chosen = world.rng.choice(possible)
         self.changes[chosen.__name__] += 1
         chosen()
         if world.network.now + CHANGE_INTERVAL < self.duration:
-            world.network.after(CHANGE_INTERVAL, self.change)
+            world.network.after(CHANGE_INTERVAL, self.make_change)
 
     def collect(self) -> ChurnFigures:
         """Return the figures of a run that has ended."""
@@ -162,7 +162,7 @@
         return ChurnFigures(
             self.requests,
             Counter(session.outcome for session in sessions),
-            sum(world.ran[request_id] > 1 for request_id in corrections),
+            sum(world.run_counts[request_id] > 1 for request_id in corrections),
             self.late_work(),
             counters,
             self.changes,
@@ -173,7 +173,7 @@
         targets = self.world.network.targets
         return sum(
             accepted > left + LEAVING_GRACE
-            for target_id, left in self.world.left_at.items()
+            for target_id, left in self.world.leave_requested_at.items()
             for accepted in targets[target_id].accepted_at
         )
 
@@ -189,7 +189,7 @@
     figures = dict(zip(jobs, run_jobs(measure, jobs), strict=True))
     return [
         *broken_rows(figures),
-        *promise_rows(figures),
+        *guarantee_rows(figures),
         *cost_rows(figures),
     ]
 
@@ -225,7 +225,7 @@
     return rows
 
 
-def promise_rows(figures: Figures) -> list[Result]:
+def guarantee_rows(figures: Figures) -> list[Result]:
     """Return what must not happen, summed over the seeds."""
     measures = {
         "churn.corrections_run_twice": lambda item: item.run_twice,
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -36,13 +36,13 @@
 TARGETS = 2
 
 #: Changes a day; more than the head remembers, so that it is as large as it gets.
-CHANGES_A_DAY = 3_700
+CHANGES_PER_DAY = 3_700
 
 #: Commits measured, after as many as fill the head.
-MEASURED = 100
+MEASURED_COMMITS = 100
 
 #: Largest number of change ids and records that the head can hold.
-FILLING = 400
+FILLING_COMMITS = 400
 
 ZONES = ("brancaccio", "zisa", "carini")
 
@@ -67,10 +67,10 @@
     platform = CountingPlatform(MemoryPlatform())
     store = ConfigurationStore.from_platform(platform, ZONES)
     anyio.run(store.commit, template_change(), 0.0)
-    anyio.run(fill, store)
-    anyio.run(commit_changes, store, 0, FILLING)
+    anyio.run(write_all_accounts, store)
+    anyio.run(commit_changes, store, 0, FILLING_COMMITS)
     platform.counts.clear()
-    anyio.run(commit_changes, store, FILLING, MEASURED)
+    anyio.run(commit_changes, store, FILLING_COMMITS, MEASURED_COMMITS)
     rows = [*commit_figures(platform), *size_figures(platform)]
     rows += idle_figures(platform, anyio.run(store.read_snapshot))
     rows += read_figures(platform)
@@ -81,16 +81,21 @@
     """Return calls and bytes of one commit."""
     counts = platform.counts
     at_most = partial(Result.at_most, command=COMMAND)
-    written = counts.bytes_written / MEASURED
+    written = counts.bytes_written / MEASURED_COMMITS
     return [
-        at_most("configuration.commit.calls", counts.total / MEASURED, "calls", 4.1),
+        at_most(
+            "configuration.commit.calls", counts.total / MEASURED_COMMITS, "calls", 4.1
+        ),
         at_most("configuration.commit.written", written, "bytes", 65_536),
         at_most(
-            "configuration.commit.read", counts.bytes_read / MEASURED, "bytes", 65_536
+            "configuration.commit.read",
+            counts.bytes_read / MEASURED_COMMITS,
+            "bytes",
+            65_536,
         ),
         at_most(
             "configuration.commit.written_rate",
-            written * CHANGES_A_DAY / 86_400,
+            written * CHANGES_PER_DAY / 86_400,
             "bytes/s",
             4_096,
         ),
@@ -203,7 +208,7 @@
     return used
 
 
-async def fill(store: ConfigurationStore) -> None:
+async def write_all_accounts(store: ConfigurationStore) -> None:
     """Write all accounts at once: one commit after another takes minutes."""
     catalog = await store.read_catalog()
     change = account_change(0, 1, "fill")
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -49,7 +49,7 @@
 EXPIRY_INTERVAL = 4.0
 
 #: Bytes of the IP and UDP headers of a control datagram.
-HEADERS = 28
+HEADER_BYTES = 28
 
 CALLER_SEQ, TARGET_SEQ = 1000, 5000
 
@@ -61,28 +61,30 @@
     rng: random.Random
     cores: dict[str, Balancer]
     #: Whether owners tell each other their loads.
-    telling: bool = True
+    load_signal: bool = True
     now: float = 0.0
     #: Flows that end: time, serial number, flow, owner, target.
-    endings: list[tuple[float, int, FlowKey, str, str]] = field(default_factory=list)
-    serial: itertools.count[int] = field(default_factory=itertools.count)
+    scheduled_ends: list[tuple[float, int, FlowKey, str, str]] = field(
+        default_factory=list
+    )
+    serial_numbers: itertools.count[int] = field(default_factory=itertools.count)
     #: Open flows by target.
-    live: Counter[str] = field(default_factory=Counter)
+    target_flows: Counter[str] = field(default_factory=Counter)
     #: Open flows by service address.
-    open_flows: Counter[str] = field(default_factory=Counter)
+    address_flows: Counter[str] = field(default_factory=Counter)
     #: SYNs by target.
-    offered: Counter[str] = field(default_factory=Counter)
+    syn_counts: Counter[str] = field(default_factory=Counter)
     #: Openings asked for, admitted and refused, by service address.
-    asked: Counter[str] = field(default_factory=Counter)
+    requested: Counter[str] = field(default_factory=Counter)
     admitted: Counter[str] = field(default_factory=Counter)
     refused: Counter[str] = field(default_factory=Counter)
     shedding: set[str] = field(default_factory=set)
     frozen: set[str] = field(default_factory=set)
     #: Targets whose endpoint says the opposite of the truth.
-    lying: set[str] = field(default_factory=set)
+    misreporting: set[str] = field(default_factory=set)
     #: Virtual time of the last SYN to each target.
-    offered_at: dict[str, float] = field(default_factory=dict)
-    mail: list[tuple[str, ControlReceived]] = field(default_factory=list)
+    last_syn_at: dict[str, float] = field(default_factory=dict)
+    pending_messages: list[tuple[str, ControlReceived]] = field(default_factory=list)
     control_bytes: int = 0
     encoder: DatagramEncoder = field(
         default_factory=lambda: DatagramEncoder("host-00", bytes(16), 1)
@@ -112,7 +114,7 @@
             self.end_flows()
             for address, rate in rates.items():
                 for _ in range(self.arrivals(rate * STEP)):
-                    self.open(address)
+                    self.open_flow(address)
             self.tick()
 
     def arrivals(self, mean: float) -> int:
@@ -127,7 +129,7 @@
 
     def tick(self) -> None:
         """Run the timed systems that are measured."""
-        mail, self.mail = self.mail, []
+        mail, self.pending_messages = self.pending_messages, []
         for host_id, event in mail:
             self.cores[host_id].receive(event, self.now)
         late = int(self.now / EXPIRY_INTERVAL) != int(
@@ -137,25 +139,25 @@
             actions: list[Action] = []
             expire_openings(core.tables, self.now, actions)
             request_probes(core.tables, self.now, actions)
-            if self.telling:
+            if self.load_signal:
                 send_loads(core.tables, self.now, actions)
             if late:
                 expire_flows(core.tables, self.now)
                 deactivate_idle_accounts(core.tables, self.now)
             self.perform(host_id, actions)
 
-    def open(self, address: str) -> None:
+    def open_flow(self, address: str) -> None:
         """Let a new caller ask for a service."""
-        number = next(self.serial)
+        number = next(self.serial_numbers)
         caller = f"10.{number >> 14 & 255}.{number >> 6 & 255}.{number & 63}"
         flow = flow_key(6, address, 443, caller, 1024 + (number >> 22))
-        self.asked[address] += 1
+        self.requested[address] += 1
         self.addresses[flow] = address
         owner = next(iter(self.cores.values())).tables.owners.owner_and_backup(flow)[0]
         assert owner is not None
-        self.give(owner, Packet(flow, True, SYN, CALLER_SEQ, 0, 0, b""))
+        self.deliver(owner, Packet(flow, True, SYN, CALLER_SEQ, 0, 0, b""))
 
-    def give(self, host_id: str, packet: Packet, source: str | None = None) -> None:
+    def deliver(self, host_id: str, packet: Packet, source: str | None = None) -> None:
         """Give a packet to a host."""
         event = PacketReceived(packet, source)
         self.perform(host_id, self.cores[host_id].receive(event, self.now))
@@ -165,57 +167,64 @@
         for action in actions:
             match action:
                 case SendToTarget(target_id, packet):
-                    self.reach(host_id, target_id, packet)
+                    self.simulate_target(host_id, target_id, packet)
                 case Relay(kind=RelayKind.PROPOSE, packet=Packet() as packet):
-                    self.reach(host_id, action.target_id or "", packet)
+                    self.simulate_target(host_id, action.target_id or "", packet)
                 case Refuse(packet):
                     self.refused[self.addresses.pop(packet.flow)] += 1
                 case SendControl(receiver, message):
                     datagram = self.encoder.encode_datagram(message, receiver, 1)  # type: ignore[arg-type]
-                    self.control_bytes += len(datagram) + HEADERS
-                    self.mail.append((receiver, ControlReceived(host_id, message)))
+                    self.control_bytes += len(datagram) + HEADER_BYTES
+                    self.pending_messages.append(
+                        (receiver, ControlReceived(host_id, message))
+                    )
                 case ProbeTarget(target_id):
                     healthy = not {target_id} & (self.shedding | self.frozen)
-                    result = ProbeResult(target_id, healthy ^ (target_id in self.lying))
+                    result = ProbeResult(
+                        target_id, healthy ^ (target_id in self.misreporting)
+                    )
                     self.cores[host_id].receive(result, self.now)
 
-    def reach(self, host_id: str, target_id: str, packet: Packet) -> None:
+    def simulate_target(self, host_id: str, target_id: str, packet: Packet) -> None:
         """Play the target's part when a SYN comes."""
         if not packet.flags & SYN:
             return
-        self.offered[target_id] += 1
-        self.offered_at[target_id] = self.now
+        self.syn_counts[target_id] += 1
+        self.last_syn_at[target_id] = self.now
         flow = packet.flow
         if target_id in self.frozen:
             return
         if target_id in self.shedding:
             reset = Packet(flow, False, RST | ACK, 0, CALLER_SEQ + 1, 0, b"")
-            self.give(host_id, reset, target_id)
+            self.deliver(host_id, reset, target_id)
             return
         address = self.addresses.pop(flow)
         self.admitted[address] += 1
-        self.open_flows[address] += 1
-        self.live[target_id] += 1
+        self.address_flows[address] += 1
+        self.target_flows[target_id] += 1
         answer = Packet(flow, False, SYN | ACK, TARGET_SEQ, CALLER_SEQ + 1, 0, b"")
-        self.give(host_id, answer, target_id)
-        self.give(
+        self.deliver(host_id, answer, target_id)
+        self.deliver(
             host_id, Packet(flow, True, ACK, CALLER_SEQ + 1, TARGET_SEQ + 1, 0, b"")
         )
         end = self.now + self.rng.expovariate(1.0 / self.lifetime)
-        heapq.heappush(self.endings, (end, next(self.serial), flow, host_id, target_id))
+        heapq.heappush(
+            self.scheduled_ends,
+            (end, next(self.serial_numbers), flow, host_id, target_id),
+        )
 
     def end_flows(self) -> None:
         """Close the flows whose time has come."""
-        while self.endings and self.endings[0][0] <= self.now:
-            _, _, flow, host_id, target_id = heapq.heappop(self.endings)
-            self.live[target_id] -= 1
+        while self.scheduled_ends and self.scheduled_ends[0][0] <= self.now:
+            _, _, flow, host_id, target_id = heapq.heappop(self.scheduled_ends)
+            self.target_flows[target_id] -= 1
             closing = FIN | ACK
             sequences = CALLER_SEQ + 1, TARGET_SEQ + 1
-            self.give(host_id, Packet(flow, True, closing, *sequences, 0, b""))
+            self.deliver(host_id, Packet(flow, True, closing, *sequences, 0, b""))
             answer = Packet(flow, False, closing, *reversed(sequences), 0, b"")
-            self.give(host_id, answer, target_id)
+            self.deliver(host_id, answer, target_id)
 
     def imbalance(self, targets: int) -> float:
         """Return the most flows on a target over the mean."""
-        total = sum(self.live.values())
-        return max(self.live.values()) * targets / total
+        total = sum(self.target_flows.values())
+        return max(self.target_flows.values()) * targets / total
--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -8,7 +8,7 @@
 import sys
 import time
 
-from benchmarks.gossip import EPOCH, KEY, Fleet
+from benchmarks.gossip import KEY, UNIX_TIME_MS, Fleet
 from benchmarks.result import Result
 from citronspring.balancer import Balancer
 from citronspring.control.envelope import DatagramDecoder, DatagramEncoder
@@ -42,8 +42,8 @@
 
 #: Hosts of the fleet whose control is timed, and virtual seconds of it.
 FLEET_SIZE = 300
-SETTLING = 2.0
-TIMED = 5.0
+SETTLING_TIME = 2.0
+MEASURED_TIME = 5.0
 SEED = 11
 
 #: Messages sealed and opened to time one.
@@ -89,26 +89,27 @@
     return {"before": before / 1024, "after": after / 1024, "seconds": seconds}
 
 
-def control_share() -> float:
+def control_cpu_share() -> float:
     """Return the share of a core that control takes on a host of a large fleet.
 
     The in-memory network is counted in, which a real host does not run.
     """
-    fleet = Fleet.of(FLEET_SIZE, 0.0, SEED)
-    fleet.run(SETTLING)
+    fleet = Fleet.from_size(FLEET_SIZE, 0.0, SEED)
+    fleet.run(SETTLING_TIME)
     started_at = time.process_time()
-    fleet.run(TIMED)
-    return (time.process_time() - started_at) / TIMED / FLEET_SIZE
+    fleet.run(MEASURED_TIME)
+    return (time.process_time() - started_at) / MEASURED_TIME / FLEET_SIZE
 
 
-def opening_time() -> float:
+def message_time() -> float:
     """Return the seconds it takes to seal and open one message."""
-    encoder = DatagramEncoder("host-1", KEY, EPOCH)
+    encoder = DatagramEncoder("host-1", KEY, UNIX_TIME_MS)
     decoder = DatagramDecoder("host-0", (KEY,))
     started_at = time.process_time()
     for number in range(MESSAGES):
         decoder.decode_datagram(
-            encoder.encode_datagram(Ping(number, 1), "host-0", EPOCH), EPOCH
+            encoder.encode_datagram(Ping(number, 1), "host-0", UNIX_TIME_MS),
+            UNIX_TIME_MS,
         )
     return (time.process_time() - started_at) / MESSAGES
 
@@ -118,7 +119,7 @@
     child = [sys.executable, "-m", "benchmarks.footprint"]
     output = subprocess.run(child, check=True, capture_output=True, text=True).stdout
     filled = json.loads(output)
-    memory, share = filled["after"], control_share()
+    memory, share = filled["after"], control_cpu_share()
     return [
         Result.at_most(
             "footprint.process", memory, "MB", MEMORY_BOUND, command=COMMAND
@@ -133,7 +134,7 @@
             seed=SEED,
             command=COMMAND,
         ),
-        Result("footprint.message", opening_time() * 1e6, "us", command=COMMAND),
+        Result("footprint.message", message_time() * 1e6, "us", command=COMMAND),
     ]
 
 
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -39,7 +39,7 @@
 KEY = bytes(32)
 
 #: Milliseconds since the epoch; only the length of its encoding matters.
-EPOCH = 1_800_000_000_000
+UNIX_TIME_MS = 1_800_000_000_000
 
 #: Client accounts of the fleet, and targets of each.
 ACCOUNTS = 100
@@ -49,7 +49,7 @@
 WATCH_DELAY = 0.01
 
 #: Hosts that settings name.
-SEEDS = 3
+SEED_HOSTS = 3
 
 
 def make_account(index: int, revision: int) -> Account:
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class Wire:
+class ControlLink:
     """One host's way to the control network."""
 
     encoder: DatagramEncoder
@@ -78,15 +78,15 @@
 class GossipNetwork(Network):
     """The in-memory network, with control messages as datagrams of a budget."""
 
-    wires: dict[str, Wire]
+    links: dict[str, ControlLink]
 
     def perform_action(self, host_id: str, action: Action) -> None:
         """Put a control message on the wire; leave the rest as it is."""
         if not isinstance(action, SendControl):
             super().perform_action(host_id, action)
             return
-        wire = self.wires[host_id]
-        now = EPOCH + int(self.now * 1000)
+        wire = self.links[host_id]
+        now = UNIX_TIME_MS + int(self.now * 1000)
         size = len(wire.encoder.encode_datagram(action.message, action.host_id, now))
         item = (action.host_id, action.message, size)
         wire.budget.enqueue(item, priority_of(action.message), size, self.now)
@@ -94,7 +94,7 @@
 
     def flush(self, host_id: str) -> None:
         """Send what the budget allows."""
-        wire = self.wires[host_id]
+        wire = self.links[host_id]
         for peer, message, size in wire.budget.dequeue(self.now):
             if priority_of(message) is Priority.BULK:
                 wire.bulk_bytes_sent += size + IP_UDP_HEADERS
@@ -110,7 +110,7 @@
     def tick(self) -> None:
         """Tick every core and send what waited."""
         super().tick()
-        for host_id, wire in self.wires.items():
+        for host_id, wire in self.links.items():
             if wire.budget.count() and host_id in self.hosts:
                 self.flush(host_id)
 
@@ -128,30 +128,30 @@
     calls: Counter[str] = field(default_factory=Counter)
 
     @classmethod
-    def of(cls, size: int, loss: float, seed: int) -> Fleet:
+    def from_size(cls, size: int, loss: float, seed: int) -> Fleet:
         """Make a fleet in its steady state: all hosts know all, at revision 1."""
         network = GossipNetwork(random.Random(seed), LinkQuality(loss=loss))
-        network.wires = {}
+        network.links = {}
         fleet = cls(network, size)
         network.other_action_handler = fleet.perform
         for index in range(ACCOUNTS):
             account = make_account(index, 1)
             fleet.accounts[account.account_id] = account
         for index in range(size):
-            core = fleet.start(index, known=size, incarnation=EPOCH)
+            core = fleet.start_host(index, known=size, incarnation=UNIX_TIME_MS)
             core.tables.membership.join = None
             core.receive(SnapshotRead(fleet.snapshot()), 0.0)
             for row in core.tables.hosts.values():
-                row.incarnation = EPOCH
+                row.incarnation = UNIX_TIME_MS
         return fleet
 
-    def start(self, index: int, known: int, incarnation: int) -> Balancer:
+    def start_host(self, index: int, known: int, incarnation: int) -> Balancer:
         """Start a host that knows the first few others."""
         host = make_host(index)
         peers = [make_host(other) for other in range(known) if other != index]
         core = Balancer.from_config(host, peers, incarnation=incarnation)
         encoder = DatagramEncoder(host.host_id, KEY, incarnation)
-        self.network.wires[host.host_id] = Wire(encoder)
+        self.network.links[host.host_id] = ControlLink(encoder)
         self.network.add_host(core)
         return core
 
@@ -173,16 +173,16 @@
                 # The watch answers, the head is read, the next watch waits, and
                 # the zone's confirmation is read and written.
                 self.calls[host_id] += 4
-                self.answer(host_id)
+                self.answer_read(host_id)
         return self.revision
 
     def perform(self, host_id: str, action: Action) -> None:
         """Answer a core's read of the platform."""
         if isinstance(action, ReadPlatform):
             self.calls[host_id] += 1
-            self.answer(host_id)
+            self.answer_read(host_id)
 
-    def answer(self, host_id: str) -> None:
+    def answer_read(self, host_id: str) -> None:
         """Give a host what the platform has beyond its revision."""
         core = self.network.hosts[host_id]
         known = core.tables.revision
@@ -198,7 +198,7 @@
         """Let time pass."""
         self.network.run_until(self.network.now + seconds)
 
-    def spread_time(self, step: float = 0.05, limit: float = 10.0) -> float:
+    def replication_time(self, step: float = 0.05, limit: float = 10.0) -> float:
         """Commit a change; return seconds until it is in force on all hosts."""
         accepted_at = self.network.now
         revision = self.commit()
@@ -215,39 +215,39 @@
         killed_at = self.network.now
         while self.network.now - killed_at < limit:
             self.run(0.05)
-            if self.holds_dead(host_id):
+            if self.is_declared_dead(host_id):
                 break
         return self.network.now - killed_at
 
-    def holds_dead(self, host_id: str) -> bool:
+    def is_declared_dead(self, host_id: str) -> bool:
         """Whether every host that knows a host holds it dead."""
         rows = (core.tables.hosts.get(host_id) for core in self.network.hosts.values())
         return all(row is None or row.state is HostState.DEAD for row in rows)
 
-    def bytes_during(self, seconds: float) -> Bytes:
+    def control_traffic_during(self, seconds: float) -> ControlTraffic:
         """Let time pass; return what hosts sent meanwhile."""
         before = {
             host_id: (wire, wire.bytes_sent, wire.bulk_bytes_sent)
-            for host_id, wire in self.network.wires.items()
+            for host_id, wire in self.network.links.items()
         }
         self.run(seconds)
         control, bulk = [], []
-        for host_id, wire in self.network.wires.items():
+        for host_id, wire in self.network.links.items():
             old, sent, bulk_sent = before.get(host_id, (wire, 0, 0))
             if old is not wire:
                 sent = bulk_sent = 0
             control.append((wire.bytes_sent - sent) / seconds)
             bulk.append((wire.bulk_bytes_sent - bulk_sent) / seconds)
-        return Bytes(max(control), sum(control) / len(control), max(bulk))
+        return ControlTraffic(max(control), sum(control) / len(control), max(bulk))
 
-    def counted(self, name: str) -> int:
+    def counter_total(self, name: str) -> int:
         """Return a counter's sum over all hosts."""
         cores = self.network.hosts.values()
         return sum(core.tables.counters[name] for core in cores)
 
 
 @dataclass(frozen=True, slots=True)
-class Bytes:
+class ControlTraffic:
     """Control bytes a second."""
 
     #: Of the host that sent most, bulk copies apart.
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -34,7 +34,7 @@
 LIFETIME = 60.0
 
 #: Virtual seconds: filling up, settling, and then one sample a second.
-FILLING, SETTLING, SAMPLES = 2.0, 40.0, 20
+FILL_TIME, SETTLING_TIME, SAMPLES = 2.0, 40.0, 20
 
 #: Hosts and targets, and the seeds that are averaged.
 SIZES = ((6, 7, 4), (9, 30, 2), (30, 200, 1))
@@ -51,10 +51,10 @@
 FAILURE_RATE = 200.0
 FAILURE_TIME = 20.0
 #: Seconds after which a failing target gets no more than single trials.
-AVOIDED_BOUND = 2.0
+AVOIDANCE_BOUND = 2.0
 
 #: Least share of new flows of a target whose endpoint alone speaks against it.
-LIAR_BOUND = 0.4
+FALSE_REPORT_BOUND = 0.4
 
 #: New flows a second of the account that is not flooding.
 CALM_RATE = 20.0
@@ -70,7 +70,7 @@
     hosts: int
     targets: int
     seed: int
-    telling: bool
+    load_signal: bool
 
 
 def run() -> list[Result]:
@@ -89,43 +89,43 @@
 def balance_rows() -> list[Result]:
     """Return imbalance with and without the load signal, and what it costs."""
     jobs = [
-        BalanceJob(hosts, targets, seed, telling)
+        BalanceJob(hosts, targets, seed, load_signal)
         for hosts, targets, seeds in reversed(SIZES)
-        for telling in (False, True)
+        for load_signal in (False, True)
         for seed in range(1, seeds + 1)
     ]
     answers = dict(zip(jobs, run_jobs(measure_balance, jobs), strict=True))
     rows = []
     for hosts, targets, _ in SIZES:
         size = f"{hosts} hosts x {targets} targets"
-        plain = mean_of(answers, hosts, targets, telling=False)
-        told = mean_of(answers, hosts, targets, telling=True)
+        plain = mean_over_seeds(answers, hosts, targets, load_signal=False)
+        told = mean_over_seeds(answers, hosts, targets, load_signal=True)
         bound = IMBALANCE_BOUND if targets == SIZES[0][1] else None
         hashed = hash_imbalance(targets)
         rows += [
-            figure(f"imbalance, {size}, own counts", plain[0], "max/mean", hashed),
-            figure(
+            make_result(f"imbalance, {size}, own counts", plain[0], "max/mean", hashed),
+            make_result(
                 f"imbalance, {size}, load signal", told[0], "max/mean", plain[0], bound
             ),
-            figure(
+            make_result(
                 f"load signal, {size}", told[1], "B/s a host", 0.0, LOAD_BYTES_BOUND
             ),
         ]
     return rows
 
 
-def mean_of(
+def mean_over_seeds(
     answers: dict[BalanceJob, tuple[float, float]],
     hosts: int,
     targets: int,
     *,
-    telling: bool,
+    load_signal: bool,
 ) -> tuple[float, float]:
     """Return the means of imbalance and bytes over the seeds of a size."""
     found = [
         answer
         for job, answer in answers.items()
-        if (job.hosts, job.targets, job.telling) == (hosts, targets, telling)
+        if (job.hosts, job.targets, job.load_signal) == (hosts, targets, load_signal)
     ]
     sums = [sum(column) / len(found) for column in zip(*found, strict=True)]
     return sums[0], sums[1]
@@ -135,12 +135,14 @@
     """Return mean imbalance, and control bytes a second of a host."""
     targets = tuple(make_target(index) for index in range(job.targets))
     snapshot = make_snapshot(1, targets)
-    fleet = Fleet.from_snapshot(job.hosts, snapshot, str(job.seed), telling=job.telling)
+    fleet = Fleet.from_snapshot(
+        job.hosts, snapshot, str(job.seed), load_signal=job.load_signal
+    )
     fleet.lifetime = LIFETIME
     flows = job.targets * FLOWS_PER_TARGET
-    fleet.run(FILLING, {SERVICE_IP: flows / FILLING})
+    fleet.run(FILL_TIME, {SERVICE_IP: flows / FILL_TIME})
     rate = {SERVICE_IP: flows / LIFETIME}
-    fleet.run(SETTLING, rate)
+    fleet.run(SETTLING_TIME, rate)
     fleet.control_bytes = 0
     samples = []
     for _ in range(SAMPLES):
@@ -174,22 +176,22 @@
         fleet, avoided, offered, lost = measure_failure(kind)
         share = 1.0 / 7
         rows += [
-            figure(
+            make_result(
                 f"target {kind}, its endpoint says healthy: last of its first SYNs",
                 avoided,
                 "s",
                 None,
-                AVOIDED_BOUND,
+                AVOIDANCE_BOUND,
             ),
-            figure(
+            make_result(
                 f"target {kind}: SYNs to it in {FAILURE_TIME:.0f} s",
                 offered,
                 "SYNs",
                 FAILURE_TIME * FAILURE_RATE * share,
             ),
-            figure(f"target {kind}: openings refused", lost, "flows", None, 0),
+            make_result(f"target {kind}: openings refused", lost, "flows", None, 0),
         ]
-    rows.append(lying_row())
+    rows.append(false_report_row())
     return rows
 
 
@@ -201,35 +203,35 @@
     fleet.run(40.0, rate)
     failing = fleet.shedding if kind == "sheds" else fleet.frozen
     failing.add("target-0")
-    fleet.lying.add("target-0")
-    began, before = fleet.now, fleet.offered["target-0"]
+    fleet.misreporting.add("target-0")
+    began, before = fleet.now, fleet.syn_counts["target-0"]
     refused = fleet.refused[SERVICE_IP]
     last, seen = 0.0, before
     while fleet.now < began + FAILURE_TIME:
         fleet.run(0.25, rate)
         # More than one SYN an owner in a quarter second is not a single trial.
-        if fleet.offered["target-0"] - seen > len(fleet.cores):
+        if fleet.syn_counts["target-0"] - seen > len(fleet.cores):
             last = fleet.now - began
-        seen = fleet.offered["target-0"]
+        seen = fleet.syn_counts["target-0"]
     lost = fleet.refused[SERVICE_IP] - refused
-    return fleet, last, fleet.offered["target-0"] - before, lost
+    return fleet, last, fleet.syn_counts["target-0"] - before, lost
 
 
-def lying_row() -> Result:
+def false_report_row() -> Result:
     """Return the share a sound target keeps when both probers call it unhealthy."""
     fleet = Fleet.from_snapshot(6, probed_snapshot(), f"lying {SEED}")
     fleet.lifetime = 10.0
     fleet.run(40.0, {SERVICE_IP: FAILURE_RATE})
-    fleet.lying.add("target-0")
+    fleet.misreporting.add("target-0")
     # Its share is lower at first, until its older flows have ended.
     fleet.run(3 * fleet.lifetime, {SERVICE_IP: FAILURE_RATE})
-    before = fleet.offered["target-0"]
+    before = fleet.syn_counts["target-0"]
     fleet.run(FAILURE_TIME, {SERVICE_IP: FAILURE_RATE})
     mean = FAILURE_RATE * FAILURE_TIME / 7
-    share = (fleet.offered["target-0"] - before) / mean
+    share = (fleet.syn_counts["target-0"] - before) / mean
     name = "sound target, its endpoint says unhealthy: its share of new flows"
     return Result.at_least(
-        name, share, "of a fair share", LIAR_BOUND, seed=SEED, command=COMMAND
+        name, share, "of a fair share", FALSE_REPORT_BOUND, seed=SEED, command=COMMAND
     )
 
 
@@ -256,18 +258,22 @@
         fleet.lifetime = 10.0
         rate = {SERVICE_IP: 70.0 * factor}
         fleet.run(40.0, rate)
-        asked, refused = fleet.asked[SERVICE_IP], fleet.refused[SERVICE_IP]
+        asked, refused = fleet.requested[SERVICE_IP], fleet.refused[SERVICE_IP]
         most = 0
         for _ in range(30):
             fleet.run(1.0, rate)
-            most = max(most, *fleet.live.values())
+            most = max(most, *fleet.target_flows.values())
         share = (fleet.refused[SERVICE_IP] - refused) / (
-            fleet.asked[SERVICE_IP] - asked
+            fleet.requested[SERVICE_IP] - asked
         )
         least = erlang_loss(70.0 * factor * fleet.lifetime, 700)
-        rows.append(figure(f"refused at load {factor}", share, "of openings", least))
         rows.append(
-            figure(f"most flows on a target at load {factor}", most, "flows", None, 100)
+            make_result(f"refused at load {factor}", share, "of openings", least)
+        )
+        rows.append(
+            make_result(
+                f"most flows on a target at load {factor}", most, "flows", None, 100
+            )
         )
     return rows
 
@@ -295,8 +301,8 @@
     fleet = Fleet.from_snapshot(6, Snapshot(1, tuple(accounts)), f"flood {SEED}")
     rates = {SERVICE_IP: 10 * limits.new_per_second, SECOND_IP: CALM_RATE}
     fleet.run(FLOOD_TIME, rates)
-    share = fleet.admitted[SECOND_IP] / fleet.asked[SECOND_IP]
-    flooding = fleet.admitted[SERVICE_IP] / fleet.asked[SERVICE_IP]
+    share = fleet.admitted[SECOND_IP] / fleet.requested[SECOND_IP]
+    flooding = fleet.admitted[SERVICE_IP] / fleet.requested[SERVICE_IP]
     return Result.at_least(
         "calm account's openings admitted while another floods tenfold",
         share,
@@ -327,21 +333,21 @@
         fleet.tick()
     visited = len(core.tables.active_accounts)
     return [
-        figure(
+        make_result(
             "memory of an idle account's rows, 1 address, 3 targets",
             taken,
             "B",
             None,
             IDLE_BYTES_BOUND,
         ),
-        figure(
+        make_result(
             f"control bytes for {IDLE_ACCOUNTS} idle accounts",
             fleet.control_bytes / fleet.now,
             "B/s",
             None,
             0,
         ),
-        figure(f"rows a tick visits of {IDLE_ACCOUNTS}", visited, "rows", None, 0),
+        make_result(f"rows a tick visits of {IDLE_ACCOUNTS}", visited, "rows", None, 0),
     ]
 
 
@@ -361,7 +367,7 @@
     return Account(account_id, (address,), targets)
 
 
-def figure(
+def make_result(
     name: str,
     value: float,
     unit: str,
--- a/benchmarks/pool.py
+++ b/benchmarks/pool.py
@@ -10,7 +10,7 @@
     from collections.abc import Callable, Iterable
 
 #: Processes of one pool; at most two pools run at a time.
-MOST_WORKERS = 3
+MAX_WORKERS = 3
 
 #: A fork of a process with threads may inherit a lock that is never released.
 CONTEXT = get_context("spawn")
@@ -21,5 +21,5 @@
 
 def run_jobs(function: Callable[[Job], Answer], jobs: Iterable[Job]) -> list[Answer]:
     """Return the function's answer for each job, in order."""
-    with ProcessPoolExecutor(MOST_WORKERS, CONTEXT) as pool:
+    with ProcessPoolExecutor(MAX_WORKERS, CONTEXT) as pool:
         return list(pool.map(function, jobs))
--- a/benchmarks/relays.py
+++ b/benchmarks/relays.py
@@ -42,7 +42,7 @@
 PACKET_RATE = 20.0
 
 #: Kinds of relay that carry no packet.
-BINDINGS = (RelayKind.BIND, RelayKind.HINT, RelayKind.UNKNOWN)
+PACKETLESS_KINDS = (RelayKind.BIND, RelayKind.HINT, RelayKind.UNKNOWN)
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
     received: int = 0
     relayed: int = 0
     #: Target that each flow's packets went to last.
-    targets: dict[FlowKey, str] = field(default_factory=dict)
+    last_targets: dict[FlowKey, str] = field(default_factory=dict)
 
     @classmethod
     def from_spray(cls, stable: bool, hints: bool) -> Fleet:
@@ -76,23 +76,23 @@
         """Send every flow's packets; return the relays a packet took."""
         flows = [numbered_flow(number) for number in range(FLOWS)]
         for flow in flows:
-            self.open(flow)
+            self.open_flow(flow)
         for number in range(PACKETS):
             for index, flow in enumerate(flows):
                 now = 1.0 + (number + index / FLOWS) / PACKET_RATE
                 self.send(self.next_packet(flow, number), now)
         return self.relayed / self.received
 
-    def open(self, flow: FlowKey) -> None:
+    def open_flow(self, flow: FlowKey) -> None:
         """Open a flow."""
         self.send(from_caller(flow, SYN), 0.0)
-        self.send(from_target(flow, self.targets[flow], SYN | ACK), 0.0)
+        self.send(from_target(flow, self.last_targets[flow], SYN | ACK), 0.0)
         self.send(from_caller(flow, ACK), 0.0)
 
     def next_packet(self, flow: FlowKey, number: int) -> PacketReceived:
         """Return a packet of the caller or the target, in turns."""
         if number % 2:
-            return from_target(flow, self.targets[flow], ACK, length=100)
+            return from_target(flow, self.last_targets[flow], ACK, length=100)
         return from_caller(flow, ACK, length=100)
 
     def send(self, event: PacketReceived, now: float) -> None:
@@ -109,13 +109,13 @@
         """Deliver relays, and note where packets go."""
         for action in actions:
             if isinstance(action, SendToTarget):
-                self.targets[action.packet.flow] = action.target_id
+                self.last_targets[action.packet.flow] = action.target_id
             elif isinstance(action, Relay):
                 self.deliver(host_id, action, now)
 
     def deliver(self, host_id: str, relay: Relay, now: float) -> None:
         """Hand a relay to its host."""
-        if relay.kind not in BINDINGS:
+        if relay.kind not in PACKETLESS_KINDS:
             self.relayed += 1
         if relay.kind is RelayKind.HINT and not self.hints:
             return
--- a/benchmarks/runner.py
+++ b/benchmarks/runner.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 import benchmarks
-from benchmarks.pool import CONTEXT, MOST_WORKERS
+from benchmarks.pool import CONTEXT, MAX_WORKERS
 from benchmarks.result import Result
 
 #: Modules whose figures are times: nothing else of ours runs beside them.
@@ -20,10 +20,10 @@
 def find_modules() -> list[str]:
     """Return the names of the modules that have a ``run``."""
     names = [module.name for module in pkgutil.iter_modules(benchmarks.__path__)]
-    return [name for name in names if name != "__main__" and runs(name)]
+    return [name for name in names if name != "__main__" and is_benchmark(name)]
 
 
-def runs(name: str) -> bool:
+def is_benchmark(name: str) -> bool:
     """Whether a module measures something."""
     return hasattr(importlib.import_module(f"benchmarks.{name}"), "run")
 
@@ -39,7 +39,7 @@
     """Run modules, those that read a clock first and alone, the others together."""
     answers = {name: run_module(name) for name in names if name in TIMED}
     single = [name for name in names if name not in (*TIMED, *POOLED)]
-    with ProcessPoolExecutor(MOST_WORKERS, CONTEXT) as pool:
+    with ProcessPoolExecutor(MAX_WORKERS, CONTEXT) as pool:
         futures = {name: pool.submit(run_module, name) for name in single}
         answers |= {name: run_module(name) for name in names if name in POOLED}
         answers |= {name: future.result() for name, future in futures.items()}
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from benchmarks.gossip import SEEDS, Fleet
+from benchmarks.gossip import SEED_HOSTS, Fleet
 from benchmarks.pool import run_jobs
 from benchmarks.result import Result
 
@@ -15,7 +15,7 @@
 SEED = 11
 
 #: Most seconds from accepted to in force, and until a killed host is held dead.
-SPREAD_BOUND = 4.0
+REPLICATION_BOUND = 4.0
 DETECTION_BOUNDS = {9: 4.0, 50: 5.0, 300: 5.0}
 
 #: Most control bytes a second of a host, and more of them for one more host.
@@ -29,11 +29,11 @@
 SUSPICIONS_BOUND = 1.0
 
 #: Changes a day that operators make, and the seconds between two of them.
-CHANGES_A_DAY = 3700
-CHANGE_INTERVAL = 86_400 / CHANGES_A_DAY
+CHANGES_PER_DAY = 3700
+CHANGE_INTERVAL = 86_400 / CHANGES_PER_DAY
 
 #: Virtual seconds of each part of a run.
-SETTLING = 4.0
+SETTLING_TIME = 4.0
 IDLE_TIME = 10.0
 CHANGING_TIME = 2 * CHANGE_INTERVAL
 LOSSY_TIME = {9: 120.0, 50: 40.0, 300: 12.0}
@@ -47,13 +47,13 @@
 KILLS = {9: 8, 50: 3, 300: 1}
 
 #: Seconds in which the last host to start must have a configuration.
-COPY_TIME = 5.0
+SNAPSHOT_TRANSFER_TIME = 5.0
 
 #: Seconds between the kill of a host in a restart storm and its start.
-DOWN_TIME = 1.0
+DOWNTIME = 1.0
 
 #: Seconds a reader's watch waits until it is asked anew.
-WATCH_TIME = 30.0
+WATCH_TIMEOUT = 30.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,8 +88,8 @@
 
 def measure(job: Job) -> list[Result]:
     """Make one run and return its figures."""
-    fleet = Fleet.of(job.size, job.loss, SEED)
-    fleet.run(SETTLING)
+    fleet = Fleet.from_size(job.size, job.loss, SEED)
+    fleet.run(SETTLING_TIME)
     match job.kind:
         case "faults":
             return measure_faults(job, fleet)
@@ -99,7 +99,7 @@
             return measure_storm(job, fleet)
 
 
-def figure(name: str, value: float, unit: str, bound: float) -> Result:
+def bounded_result(name: str, value: float, unit: str, bound: float) -> Result:
     """Return a figure that must not exceed its bound."""
     return Result.at_most(name, value, unit, bound, seed=SEED, command=COMMAND)
 
@@ -110,57 +110,59 @@
     if job.loss:
         fleet.run(LOSSY_TIME[job.size])
         minutes = job.size * fleet.network.now / 60
-        suspected = fleet.counted("membership.suspected") / job.size / minutes
-        died = float(fleet.counted("membership.died"))
+        suspected = fleet.counter_total("membership.suspected") / job.size / minutes
+        died = float(fleet.counter_total("membership.died"))
         name = f"false suspicions, {job.label}"
-        results.append(figure(name, suspected, "/host/min", SUSPICIONS_BOUND))
-        results.append(figure(f"false deaths, {job.label}", died, "", 0.0))
+        results.append(bounded_result(name, suspected, "/host/min", SUSPICIONS_BOUND))
+        results.append(bounded_result(f"false deaths, {job.label}", died, "", 0.0))
     times = []
     for _ in range(CHANGES):
-        times.append(fleet.spread_time())
+        times.append(fleet.replication_time())
         fleet.run(CHANGE_GAP)
     name = f"accepted to in force, {job.label}"
-    results.append(figure(name, max(times), "s", SPREAD_BOUND))
+    results.append(bounded_result(name, max(times), "s", REPLICATION_BOUND))
     times = []
     for number in range(KILLS[job.size]):
         times.append(fleet.detection_time(f"host-{job.size - 1 - number}"))
     name = f"killed host held dead by all, {job.label}"
     bound = DETECTION_BOUNDS[job.size]
-    results.append(figure(name, max(times), "s", bound))
+    results.append(bounded_result(name, max(times), "s", bound))
     return results
 
 
 def measure_bytes(job: Job, fleet: Fleet) -> list[Result]:
     """Count bytes of an idle fleet, and of one that changes at the usual rate."""
-    idle = fleet.bytes_during(IDLE_TIME)
+    idle = fleet.control_traffic_during(IDLE_TIME)
     fleet.calls.clear()
     fleet.network.after(0.0, fleet.commit)
     fleet.network.after(CHANGE_INTERVAL, fleet.commit)
-    changing = fleet.bytes_during(CHANGING_TIME)
+    changing = fleet.control_traffic_during(CHANGING_TIME)
     readers = sum(
         core.tables.replication.is_reader for core in fleet.network.hosts.values()
     )
-    calls = fleet.calls.total() / CHANGING_TIME + readers / WATCH_TIME
+    calls = fleet.calls.total() / CHANGING_TIME + readers / WATCH_TIMEOUT
     return [
-        figure(f"control bytes, idle, {job.label}", idle.busiest, "B/s", BYTES_BOUND),
-        figure(
+        bounded_result(
+            f"control bytes, idle, {job.label}", idle.busiest, "B/s", BYTES_BOUND
+        ),
+        bounded_result(
             f"control bytes, changing, {job.label}",
             changing.busiest,
             "B/s",
             BYTES_BOUND,
         ),
-        figure(f"platform calls, {job.label}", calls, "/s", CALLS_BOUND),
+        bounded_result(f"platform calls, {job.label}", calls, "/s", CALLS_BOUND),
     ]
 
 
 def measure_storm(job: Job, fleet: Fleet) -> list[Result]:
     """Restart a third of the hosts, one after the other, within ten seconds."""
-    restarted = range(SEEDS, SEEDS + job.size // 3)
+    restarted = range(SEED_HOSTS, SEED_HOSTS + job.size // 3)
     for number, index in enumerate(restarted):
         at = 10.0 * number / len(restarted)
         fleet.network.after(at, lambda index=index: restart(fleet, index))
-    sent = fleet.bytes_during(STORM_TIME)
-    fleet.run(COPY_TIME)
+    sent = fleet.control_traffic_during(STORM_TIME)
+    fleet.run(SNAPSHOT_TRANSFER_TIME)
     late = sum(
         core.tables.revision < fleet.revision for core in fleet.network.hosts.values()
     )
@@ -168,9 +170,9 @@
     bulk = f"bulk copies, restart storm, {job.label}"
     missing = f"hosts without configuration after it, {job.label}"
     return [
-        figure(name, sent.busiest, "B/s", BYTES_BOUND),
+        bounded_result(name, sent.busiest, "B/s", BYTES_BOUND),
         Result(bulk, sent.bulk, "B/s", seed=SEED, command=COMMAND),
-        figure(missing, float(late), "", 0.0),
+        bounded_result(missing, float(late), "", 0.0),
     ]
 
 
@@ -178,12 +180,12 @@
     """Kill a host; start it again a moment later, knowing its seeds alone."""
     host_id = f"host-{index}"
     fleet.network.kill_host(host_id)
-    incarnation = fleet.network.wires[host_id].encoder.boot_time + 60_000
+    incarnation = fleet.network.links[host_id].encoder.boot_time + 60_000
 
     def start() -> None:
-        fleet.start(index, SEEDS, incarnation)
+        fleet.start_host(index, SEED_HOSTS, incarnation)
 
-    fleet.network.after(DOWN_TIME, start)
+    fleet.network.after(DOWNTIME, start)
 
 
 def slope_of(results: list[Result], word: str) -> Result:
@@ -197,4 +199,6 @@
         for size in SIZES
     }
     slope = (values[SIZES[-1]] - values[SIZES[0]]) / (SIZES[-1] - SIZES[0])
-    return figure(f"control bytes, {word}, slope", slope, "B/s/host", SLOPE_BOUND)
+    return bounded_result(
+        f"control bytes, {word}, slope", slope, "B/s/host", SLOPE_BOUND
+    )
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -48,14 +48,14 @@
 REPEATS = 4
 
 #: Seconds a process has to start.
-START_TIME = 10.0
+START_TIMEOUT = 10.0
 
 #: Least ratio to the bare forwarder.
 BOUND = 0.4
 
 
 @dataclass(frozen=True, slots=True)
-class Ends:
+class RunEndpoints:
     """The sockets of a run."""
 
     host: Endpoint
@@ -63,7 +63,7 @@
     target: Endpoint
 
     @classmethod
-    def from_kernel(cls) -> Ends:
+    def from_kernel(cls) -> RunEndpoints:
         """Return ports that are free now."""
         ips = (HOST_IP, GATEWAY_IP, TARGET_IP)
         return cls(*(Endpoint(ip, free_port(ip)) for ip in ips))
@@ -108,7 +108,7 @@
         return revision
 
 
-def run_host(ends: Ends) -> None:
+def run_host(ends: RunEndpoints) -> None:
     """Run a host process that forwards to the target."""
     target = Target("target-0", ACCOUNT_ID, ends.target, ZONE)
     address = ServiceAddress(SERVICE_IP, SERVICE_PORT, Protocol.TCP)
@@ -131,12 +131,12 @@
     anyio.run(HostDaemon.from_settings(settings, source).run)
 
 
-def run_forwarder(ends: Ends) -> None:
+def run_forwarder(ends: RunEndpoints) -> None:
     """Forward every datagram to the target, without looking at it."""
     anyio.run(forward_forever, ends)
 
 
-async def forward_forever(ends: Ends) -> None:
+async def forward_forever(ends: RunEndpoints) -> None:
     """Read datagrams in batches, as a host does, and send each on."""
     sock = bind_udp(ends.host)
     destination = (ends.target.ip, ends.target.port)
@@ -150,9 +150,9 @@
             sock.sendto(datagram, destination)
 
 
-def run_sender(ends: Ends) -> None:
+def run_sender(ends: RunEndpoints) -> None:
     """Send callers' packets of established flows for ever, as fast as it goes."""
-    datagrams = [packet_of(number, from_caller=True) for number in range(FLOWS)]
+    datagrams = [tunnelled_packet(number, from_caller=True) for number in range(FLOWS)]
     destination = (ends.host.ip, ends.host.port)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind((ends.gateway.ip, ends.gateway.port))
@@ -161,15 +161,15 @@
                 sock.sendto(datagram, destination)
 
 
-def packet_of(number: int, from_caller: bool) -> bytes:
+def tunnelled_packet(number: int, from_caller: bool) -> bytes:
     """Return a tunnelled data segment of a numbered flow."""
     flow = numbered_flow(number)
     return encapsulate(encode_tcp(flow, from_caller, ACK, 1, 1, PAYLOAD))
 
 
-def measure(forward: Callable[[Ends], None]) -> float:
+def measure(forward: Callable[[RunEndpoints], None]) -> float:
     """Return the packets a second that reach the target."""
-    ends = Ends.from_kernel()
+    ends = RunEndpoints.from_kernel()
     target = bind_udp(ends.target)
     target.settimeout(0.05)
     forwarder = multiprocessing.Process(target=forward, args=(ends,), daemon=True)
@@ -178,8 +178,8 @@
     try:
         establish(target, ends)
         sender.start()
-        count_for(target, WARM_UP)
-        return count_for(target, DURATION) / DURATION
+        count_datagrams(target, WARM_UP)
+        return count_datagrams(target, DURATION) / DURATION
     finally:
         stop(sender)
         stop(forwarder)
@@ -193,28 +193,28 @@
         process.join()
 
 
-def establish(target: socket.socket, ends: Ends) -> None:
+def establish(target: socket.socket, ends: RunEndpoints) -> None:
     """Have the host learn every flow from an answer, once it listens."""
-    probe = packet_of(0, from_caller=True)
+    probe = tunnelled_packet(0, from_caller=True)
     destination = (ends.host.ip, ends.host.port)
-    deadline = time.monotonic() + START_TIME
+    deadline = time.monotonic() + START_TIMEOUT
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as gateway:
         gateway.bind((ends.gateway.ip, ends.gateway.port))
         for number in range(FLOWS):
-            target.sendto(packet_of(number, from_caller=False), destination)
+            target.sendto(tunnelled_packet(number, from_caller=False), destination)
         while time.monotonic() < deadline:
-            target.sendto(packet_of(0, from_caller=False), destination)
+            target.sendto(tunnelled_packet(0, from_caller=False), destination)
             gateway.sendto(probe, destination)
-            if count_for(target, 0.1):
+            if count_datagrams(target, 0.1):
                 break
         else:
             raise TimeoutError("the forwarder did not start: see its error above")
         for number in range(FLOWS):
-            target.sendto(packet_of(number, from_caller=False), destination)
-        count_for(target, 0.3)
+            target.sendto(tunnelled_packet(number, from_caller=False), destination)
+        count_datagrams(target, 0.3)
 
 
-def count_for(target: socket.socket, seconds: float) -> int:
+def count_datagrams(target: socket.socket, seconds: float) -> int:
     """Return how many datagrams arrive in so many seconds."""
     count = 0
     deadline = time.monotonic() + seconds
--- a/benchmarks/tokens.py
+++ b/benchmarks/tokens.py
@@ -69,7 +69,7 @@
     return core
 
 
-def opening(number: int) -> Packet:
+def opening_packet(number: int) -> Packet:
     """Return the opening of a numbered flow."""
     return Packet(number.to_bytes(12, "big"), ROUTE, SYN, 0, 1000, 0, 0)
 
@@ -106,7 +106,9 @@
     core = make_core(targets)
     times = []
     for _ in range(REPEATS):
-        times.append(time_calls(core.receive, [opening(n) for n in range(PACKETS)]))
+        times.append(
+            time_calls(core.receive, [opening_packet(n) for n in range(PACKETS)])
+        )
         for key, flow in list(core.tables.flows.items()):
             close_flow(core.tables, key, flow)
     return statistics.median(times)
@@ -124,7 +126,7 @@
     return taken / MEMORY_FLOWS
 
 
-def bind() -> socket.socket:
+def bind_udp_socket() -> socket.socket:
     """Return a non-blocking UDP socket on loopback."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setblocking(False)
@@ -166,7 +168,7 @@
     return (time.perf_counter() - began) / BATCH * 1e6
 
 
-def drain(sock: socket.socket) -> None:
+def discard_datagrams(sock: socket.socket) -> None:
     """Read a socket empty."""
     while True:
         try:
@@ -177,7 +179,7 @@
 
 def measure_forwarding() -> tuple[float, float]:
     """Return microseconds a packet: through a host's process loop, and bare."""
-    with bind() as sink, bind() as bare:
+    with bind_udp_socket() as sink, bind_udp_socket() as bare:
         settings = HostSettings(
             host_id="host",
             zone="north",
@@ -197,14 +199,14 @@
         host.core = make_core(TARGETS, sink.getsockname()[1])
         forward = bare_forwarder(bare, sink.getsockname())
         ours, theirs = [], []
-        with bind() as sender:
+        with bind_udp_socket() as sender:
             # By turns, so that both meet the machine in the same state.
             for _ in range(40 * REPEATS):
                 ours.append(
                     time_batch(lambda: host.read_packets(1), sender, settings.packets)
                 )
                 theirs.append(time_batch(forward, sender, bare.getsockname()))
-                drain(sink)
+                discard_datagrams(sink)
         host.packets.close()
         host.server.listener.close()
         host.peer_endpoint.listener.close()
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -39,13 +39,13 @@
 FABRIC_LAG = 1.5
 
 #: Seconds a leaving host may still serve.
-LEAVE_TIME = 15.0
+LEAVE_TIMEOUT = 15.0
 
 #: A leaving target is removed only when empty, and not before this many seconds.
-REMOVAL_WAIT = 10.0
+REMOVAL_DELAY = 10.0
 
 #: Seconds for which a removed target still answers.
-REMOVED_ANSWERS = 5.0
+REMOVED_TARGET_GRACE = 5.0
 
 
 def make_host(index: int) -> Host:
@@ -83,14 +83,14 @@
     #: Draws the changes; apart from the network's, so that variants see the same.
     rng: random.Random
     network: Network
-    ran: Counter[str] = field(default_factory=Counter)
+    run_counts: Counter[str] = field(default_factory=Counter)
     snapshot: Snapshot = field(default_factory=lambda: make_snapshot(1, ()))
     #: Hosts that are neither dead nor leaving.
-    live: dict[str, Host] = field(default_factory=dict)
+    live_hosts: dict[str, Host] = field(default_factory=dict)
     #: Every core that ever ran, for its counters.
     cores: list[Balancer] = field(default_factory=list)
     #: When each leaving target was told to leave.
-    left_at: dict[str, float] = field(default_factory=dict)
+    leave_requested_at: dict[str, float] = field(default_factory=dict)
     host_count: int = 0
     target_count: int = 0
 
@@ -104,9 +104,9 @@
         world.snapshot = make_snapshot(
             1, tuple(world.start_target() for _ in range(targets))
         )
-        world.live = {f"host-{index}": make_host(index) for index in range(hosts)}
+        world.live_hosts = {f"host-{index}": make_host(index) for index in range(hosts)}
         world.host_count = hosts
-        for host in world.live.values():
+        for host in world.live_hosts.values():
             world.network.add_host(world.start_core(host))
         return world
 
@@ -116,13 +116,13 @@
         return self.snapshot.accounts[0].targets
 
     @property
-    def active(self) -> list[Target]:
+    def active_targets(self) -> list[Target]:
         """Targets that take new flows."""
         return [target for target in self.targets if not target.leaving]
 
     def start_core(self, host: Host) -> Balancer:
         """Make the core of a host that has read what is true now."""
-        peers = [peer for peer in self.live.values() if peer is not host]
+        peers = [peer for peer in self.live_hosts.values() if peer is not host]
         core = self.make_core(host, peers)
         core.receive(SnapshotRead(self.snapshot), self.network.now)
         self.cores.append(core)
@@ -132,26 +132,28 @@
         """Start one more target."""
         target = make_target(self.target_count, revision)
         self.target_count += 1
-        self.network.add_target(target.target_id, target.zone, self.note_run)
+        self.network.add_target(target.target_id, target.zone, self.count_run)
         return target
 
-    def note_run(self, request: Request) -> None:
+    def count_run(self, request: Request) -> None:
         """Count a run of a request."""
-        self.ran[request.request_id] += 1
+        self.run_counts[request.request_id] += 1
 
     # Views --------------------------------------------------------------------
 
-    def tell_membership(self, learn: Callable[[Balancer], None]) -> None:
+    def update_baseline_membership(self, learn: Callable[[Balancer], None]) -> None:
         """Let the hosts of a baseline learn of a host; the balancer's find out."""
         if self.make_core != Balancer.from_config:
-            self.tell_hosts(learn)
+            self.schedule_host_updates(learn)
 
-    def tell_hosts(self, learn: Callable[[Balancer], None]) -> None:
+    def schedule_host_updates(self, learn: Callable[[Balancer], None]) -> None:
         """Let every host of now learn something, each at a moment of its own."""
         for host_id in list(self.network.hosts):
-            self.tell(host_id, learn)
+            self.schedule_host_update(host_id, learn)
 
-    def tell(self, host_id: str, learn: Callable[[Balancer], None]) -> None:
+    def schedule_host_update(
+        self, host_id: str, learn: Callable[[Balancer], None]
+    ) -> None:
         """Let one host learn something later, if it still runs."""
 
         def arrive() -> None:
@@ -169,23 +171,23 @@
         def learn(core: Balancer) -> None:
             core.receive(SnapshotRead(snapshot), self.network.now)
 
-        self.tell_hosts(learn)
+        self.schedule_host_updates(learn)
 
     # Changes ------------------------------------------------------------------
 
     def kill_host(self) -> None:
         """Lose a host; others find out later."""
-        host_id = self.rng.choice(list(self.live))
-        del self.live[host_id]
+        host_id = self.rng.choice(list(self.live_hosts))
+        del self.live_hosts[host_id]
         self.network.kill_host(host_id)
-        self.tell_membership(lambda core: forget_host(core, host_id))
-        self.network.after(FABRIC_LAG, lambda: self.stop_spraying(host_id))
+        self.update_baseline_membership(lambda core: remove_host_row(core, host_id))
+        self.network.after(FABRIC_LAG, lambda: self.remove_from_fabric(host_id))
 
     def join_host(self) -> None:
         """Add a host; others find out later."""
         host = make_host(self.host_count)
         self.host_count += 1
-        self.live[host.host_id] = host
+        self.live_hosts[host.host_id] = host
         core = self.start_core(host)
         self.network.add_host(core)
         self.network.fabric_hosts.remove(host.host_id)
@@ -193,18 +195,18 @@
         def learn(peer: Balancer) -> None:
             peer.tables.hosts.setdefault(host.host_id, HostRow(host))
 
-        self.tell_membership(learn)
+        self.update_baseline_membership(learn)
         spray = self.network.fabric_hosts
         self.network.after(FABRIC_LAG, lambda: spray.append(host.host_id))
 
     def leave_host(self) -> None:
         """Ask a host to stop; it serves until quiet, others find out later."""
-        host_id = self.rng.choice(list(self.live))
-        del self.live[host_id]
+        host_id = self.rng.choice(list(self.live_hosts))
+        del self.live_hosts[host_id]
         now = self.network.now
-        self.network.hosts[host_id].receive(LeaveRequested(now + LEAVE_TIME), now)
-        self.tell_membership(lambda core: note_leaving(core, host_id))
-        self.network.after(FABRIC_LAG, lambda: self.stop_spraying(host_id))
+        self.network.hosts[host_id].receive(LeaveRequested(now + LEAVE_TIMEOUT), now)
+        self.update_baseline_membership(lambda core: mark_host_leaving(core, host_id))
+        self.network.after(FABRIC_LAG, lambda: self.remove_from_fabric(host_id))
         self.network.after(1.0, lambda: self.await_stop(host_id))
 
     def await_stop(self, host_id: str) -> None:
@@ -213,9 +215,9 @@
             self.network.after(0.1, lambda: self.await_stop(host_id))
             return
         self.network.kill_host(host_id)
-        self.tell_membership(lambda core: forget_host(core, host_id))
+        self.update_baseline_membership(lambda core: remove_host_row(core, host_id))
 
-    def stop_spraying(self, host_id: str) -> None:
+    def remove_from_fabric(self, host_id: str) -> None:
         """Take a host from the fabric's list."""
         if host_id in self.network.fabric_hosts:
             self.network.fabric_hosts.remove(host_id)
@@ -227,12 +229,12 @@
 
     def leave_target(self) -> None:
         """Tell a target to leave; it is removed when empty."""
-        gone = self.rng.choice(self.active)
+        gone = self.rng.choice(self.active_targets)
         leaving = replace(gone, leaving_revision=self.snapshot.revision + 1)
         others = [target for target in self.targets if target is not gone]
-        self.left_at[gone.target_id] = self.network.now
+        self.leave_requested_at[gone.target_id] = self.network.now
         self.publish((*others, leaving))
-        self.network.after(REMOVAL_WAIT, lambda: self.remove_target(gone.target_id))
+        self.network.after(REMOVAL_DELAY, lambda: self.remove_target(gone.target_id))
 
     def remove_target(self, target_id: str) -> None:
         """Remove a leaving target for good, once nothing is open there."""
@@ -244,12 +246,12 @@
         )
 
 
-def forget_host(core: Balancer, host_id: str) -> None:
+def remove_host_row(core: Balancer, host_id: str) -> None:
     """Take a host from a core's membership view."""
     core.tables.hosts.pop(host_id, None)
 
 
-def note_leaving(core: Balancer, host_id: str) -> None:
+def mark_host_leaving(core: Balancer, host_id: str) -> None:
     """Mark a host as leaving in a core's membership view."""
     row = core.tables.hosts.get(host_id)
     if row is not None:
--- a/tests/test_benchmarks/test_figures.py
+++ b/tests/test_benchmarks/test_figures.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from benchmarks.balance import BOUND, TODAY, SteadyLoad
+from benchmarks.balance import BOUND, CURRENT_SIZES, SteadyLoad
 from benchmarks.churn import ChurnRun, Variant
 from benchmarks.decision import measure_bytes
 from benchmarks.relays import Fleet
@@ -39,17 +39,17 @@
     assert hashed.broken > 10
 
 
-def test_steady_load_is_even():
-    ours, hashed = SteadyLoad.from_seed(TODAY, 0).run()
+def test_steady_load_is_balanced():
+    ours, hashed = SteadyLoad.from_seed(CURRENT_SIZES, 0).run()
     assert ours <= BOUND < hashed
 
 
-def test_hints_cut_relays():
+def test_hints_reduce_relays():
     assert Fleet.from_spray(stable=True, hints=True).run() <= 0.15
     assert Fleet.from_spray(stable=False, hints=True).run() <= 0.45
 
 
-def test_flow_takes_few_bytes():
+def test_memory_of_flow_stays_within_bound():
     """A row that grows by one field costs megabytes at hundreds of thousands.
 
     At this size a flow's share of the owner ring, which does not grow, is 70 bytes.
@@ -57,12 +57,12 @@
     assert measure_bytes(30_000) <= 255
 
 
-def test_token_mode_takes_few_bytes():
+def test_memory_of_token_mode_flow_stays_within_bound():
     """The smallest host has 120 MB; its table of flows must stay a small part."""
     assert token_bytes() <= BYTES_BOUND
 
 
-def test_program_prints_writes_and_judges(tmp_path):
+def test_program_prints_and_writes_the_same_figures(tmp_path):
     path = tmp_path / "figures.json"
     command = [sys.executable, "-m", "benchmarks", "--only", "relays"]
     command += ["--json", str(path)]
--- a/tests/test_benchmarks/test_health_figures.py
+++ b/tests/test_benchmarks/test_health_figures.py
@@ -5,6 +5,6 @@
 from benchmarks.health import failure_rows, flood_row, idle_rows
 
 
-def test_bounds_hold():
+def test_health_bounds_hold():
     rows = [*failure_rows(), flood_row(), *idle_rows()]
     assert [row.name for row in rows if not row.held] == []
