--- a/citronspring/standins/caller.py
+++ b/citronspring/standins/caller.py
@@ -1,4 +1,4 @@
-"""A stand-in for callers: makes requests and judges the answers."""
+"""A stand-in for callers: sends requests and checks the answers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     from citronspring.standins.service import CallerSession, Request
     from citronspring.standins.stacks import Outgoing
 
-#: Address the stand-in's packets bear inside the tunnel (a documentation range).
+#: Source address of the callers' packets inside the tunnel (a documentation range).
 CALLER_IP = "198.51.100.1"
 FIRST_PORT = 1024
 
@@ -32,11 +32,11 @@
     Parameters
     ----------
     local : Endpoint
-        Its own socket.
+        Address of its own socket.
     access : Endpoint
-        The fabric's socket for callers.
+        Address of the fabric's socket for callers.
     rng : random.Random
-        Initial sequence numbers.
+        Source of initial sequence numbers.
     """
 
     def __init__(self, local: Endpoint, access: Endpoint, rng: random.Random) -> None:
@@ -46,7 +46,7 @@
         self.next_port = FIRST_PORT
 
     def open(self, address: ServiceAddress, request: Request) -> CallerSession:
-        """Start a request on a new connection; return its session."""
+        """Start a request on a new connection, and return its session."""
         flow = self.new_flow(address)
         self.send(self.stack.open(flow, request, anyio.current_time()))
         return self.stack.sessions[flow]
@@ -67,10 +67,10 @@
         self.send(self.stack.receive(packet.flow, segment_of(packet), now))
 
     def tick(self) -> None:
-        """Run timers and paced bodies once."""
+        """Run timers, and send what is due of paced bodies."""
         self.send(self.stack.tick(anyio.current_time()))
 
     def send(self, outgoing: list[Outgoing]) -> None:
-        """Hand segments to the fabric."""
+        """Send segments to the fabric."""
         for item in outgoing:
             send(self.sock, encode(item, from_caller=True), self.access)
--- a/citronspring/standins/datagrams.py
+++ b/citronspring/standins/datagrams.py
@@ -1,4 +1,4 @@
-"""Requests in single datagrams: non-idempotent, never sent again by the caller."""
+"""Requests in single datagrams: non-idempotent, never retransmitted by the caller."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
     from citronspring.entities import FlowKey
 
-#: Seconds a server takes at the most; longer than a host watches a datagram.
+#: Longest time until a server answers, seconds; longer than a host watches a datagram.
 MAX_SERVICE_SECONDS = 2.5
 
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """A datagram of a flow, or the network's word that nobody took one."""
+    """A datagram of a flow, or the report that its destination was unreachable."""
 
     flow: FlowKey
     payload: bytes
@@ -33,15 +33,15 @@
 
 @dataclass(slots=True, eq=False)
 class DatagramServer:
-    """A target's server of datagram requests."""
+    """A target's server for datagram requests."""
 
     rng: random.Random
     on_run: Callable[[Request], None]
-    #: Answers and the time they are due.
+    #: Answers to be sent, each with its time.
     pending_answers: list[tuple[float, Datagram]] = field(default_factory=list)
 
     def receive(self, datagram: Datagram, shedding: bool, now: float) -> list[Datagram]:
-        """Run a request at once and answer it later; refuse it when shedding."""
+        """Run a request at once and answer it later; refuse it while shedding load."""
         if shedding:
             return [Datagram(datagram.flow, b"", unreachable=True)]
         request = Request.from_header(datagram.payload)
@@ -61,17 +61,17 @@
 
 @dataclass(slots=True, eq=False)
 class DatagramCaller:
-    """Callers that send one datagram a flow."""
+    """Callers that send one datagram per flow."""
 
     sessions: dict[FlowKey, CallerSession] = field(default_factory=dict)
 
     def open(self, flow: FlowKey, request: Request) -> Datagram:
-        """Start a request; return its datagram."""
+        """Start a request, and return its datagram."""
         self.sessions[flow] = CallerSession(request)
         return Datagram(flow, request.header())
 
     def receive(self, datagram: Datagram) -> None:
-        """Judge an answer."""
+        """Compare an answer with the expected one."""
         session = self.sessions.get(datagram.flow)
         if session is None or session.outcome is not None:
             return
@@ -79,5 +79,5 @@
             session.outcome = Outcome.REFUSED
             session.refusal = datagram.payload.decode() or "unreachable"
             return
-        own = datagram.payload == expected_answer(session.request)
-        session.outcome = Outcome.COMPLETED if own else Outcome.WRONG
+        matches = datagram.payload == expected_answer(session.request)
+        session.outcome = Outcome.COMPLETED if matches else Outcome.WRONG
--- a/citronspring/standins/fabric.py
+++ b/citronspring/standins/fabric.py
@@ -1,8 +1,8 @@
-"""A stand-in for the fabric: sprays callers' packets over hosts, and routes answers.
+"""A stand-in for the fabric: spreads callers' packets over hosts and routes answers.
 
-Callers hand it bare IPv4 packets over UDP; hosts get and give them in Generic UDP
-Encapsulation. Targets reach hosts through the same spray, as an anycast route
-would bring their tunnel packets to any host with the source address kept.
+Callers exchange bare IPv4 packets with it over UDP; hosts exchange packets in Generic
+UDP Encapsulation. The packets of targets are spread over the hosts in the same way, as
+an anycast route would deliver them to any host without a change of source address.
 """
 
 from __future__ import annotations
@@ -30,35 +30,35 @@
 
 
 class Fabric:
-    """Random spray over a list of host tunnels.
+    """Spreads packets at random over a list of host tunnels.
 
     Parameters
     ----------
     gateway : Endpoint
-        Talks with hosts.
+        Address of the socket towards hosts.
     access : Endpoint
-        Talks with callers.
+        Address of the socket towards callers.
     rng : random.Random
-        Picks the host of each packet.
+        Chooses the host of each packet.
     """
 
     def __init__(self, gateway: Endpoint, access: Endpoint, rng: random.Random) -> None:
         self.rng = rng
         self.gateway = bind_udp(gateway)
         self.access = bind_udp(access)
-        #: Tunnels of the hosts that packets are sprayed over.
+        #: Tunnel endpoints of the hosts over which packets are spread.
         self.hosts: list[Endpoint] = []
-        #: Where the caller of each flow is; grows with the callers of one run.
+        #: Address of the caller of each flow; entries stay until the end of a run.
         self.callers: dict[FlowKey, Endpoint] = {}
 
     async def run(
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Carry packets until cancelled."""
+        """Forward packets until cancelled."""
         with closing(self):
             async with anyio.create_task_group() as group:
-                group.start_soon(receive_forever, self.access, self.from_caller)
-                group.start_soon(receive_forever, self.gateway, self.from_host)
+                group.start_soon(receive_forever, self.access, self.receive_from_caller)
+                group.start_soon(receive_forever, self.gateway, self.receive_from_host)
                 task_status.started()
 
     def close(self) -> None:
@@ -70,8 +70,8 @@
         """Return the host for one packet."""
         return self.rng.choice(self.hosts) if self.hosts else None
 
-    def from_caller(self, inner: bytes, source: Source) -> None:
-        """Spray a caller's packet."""
+    def receive_from_caller(self, inner: bytes, source: Source) -> None:
+        """Forward a caller's packet to a random host."""
         try:
             flow = decode_packet(inner, from_caller=True).flow
         except MalformedPacketError as error:
@@ -82,8 +82,8 @@
         if host is not None:
             send(self.gateway, encapsulate(inner), host)
 
-    def from_host(self, datagram: bytes, source: Source) -> None:
-        """Route an answer to its caller."""
+    def receive_from_host(self, datagram: bytes, source: Source) -> None:
+        """Forward an answer to its caller."""
         try:
             inner = decapsulate(datagram)
             flow = decode_packet(inner, from_caller=False).flow
--- a/citronspring/standins/flow_endpoint.py
+++ b/citronspring/standins/flow_endpoint.py
@@ -1,4 +1,4 @@
-"""What stand-in callers and targets share: a socket, timers, a run until cancelled."""
+"""The base class of stand-in callers and targets: a UDP socket and timers."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 class FlowEndpoint:
-    """An end of flows behind one UDP socket.
+    """An endpoint of flows behind one UDP socket.
 
     Parameters
     ----------
     local : Endpoint
-        Where it listens.
+        Address of its socket.
     """
 
     def __init__(self, local: Endpoint) -> None:
@@ -38,7 +38,7 @@
     async def run(
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Carry segments until cancelled."""
+        """Exchange segments until cancelled."""
         with closing(self):
             async with anyio.create_task_group() as group:
                 group.start_soon(receive_forever, self.sock, self.receive)
@@ -50,7 +50,7 @@
         self.sock.close()
 
     async def tick_forever(self) -> None:
-        """Run timers and paced bodies."""
+        """Call `tick` periodically."""
         while True:
             self.tick()
             await anyio.sleep(TICK)
@@ -60,7 +60,7 @@
         raise NotImplementedError
 
     def tick(self) -> None:
-        """Run timers and paced bodies once."""
+        """Run timers, and send what is due."""
         raise NotImplementedError
 
 
--- a/citronspring/standins/health_endpoint.py
+++ b/citronspring/standins/health_endpoint.py
@@ -1,4 +1,4 @@
-"""A stand-in target's health endpoint, which can lag and lie."""
+"""A stand-in target's health endpoint, which can report old or inverted states."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 @dataclass(slots=True)
 class HealthEndpoint:
-    """What a target says of itself, and how it deviates from the truth."""
+    """The state that a target reports, and how it deviates from its real state."""
 
-    #: Returns whether the target takes work.
+    #: Returns whether the target accepts requests.
     is_healthy: Callable[[], bool] = lambda: True
-    #: Returns requests at work and waiting, over slots.
+    #: Returns the number of running and queued requests per slot.
     read_load: Callable[[], float] = lambda: 0.0
-    #: Answers by which it lags: each tells the state of so many answers ago.
+    #: Number of answers by which each reported state is out of date.
     lag: int = 0
-    #: Says the opposite of the truth while set.
+    #: Report the opposite of the real health while set.
     inverted: bool = False
-    #: Seconds before it answers.
+    #: Delay of each answer, seconds.
     delay: float = 0.0
     answered: int = 0
     #: States of the last answers, the newest last.
@@ -62,6 +62,6 @@
     *,
     task_status: TaskStatus[Endpoint] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve a health endpoint until cancelled; starts with where it listens."""
+    """Serve a health endpoint until cancelled; report its address once started."""
     application = health.to_application()
     await serve_application(application, endpoint, task_status=task_status)
--- a/citronspring/standins/loopback.py
+++ b/citronspring/standins/loopback.py
@@ -1,4 +1,4 @@
-"""A whole system on loopback in one process: stand-ins around real host daemons."""
+"""A complete system on loopback in one process: real host daemons and stand-ins."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
     from citronspring.entities import Account, Snapshot, Target
     from citronspring.standins.service import Request
 
-#: Address on which a system reserves its ports, and the ports it may begin at: below
-#: the range from which the kernel picks ports for others.
+#: Address on which a system reserves its range of ports, and the ports at which a range
+#: may begin. They lie below the ephemeral ports, which the kernel assigns to others.
 RESERVED_IP = "127.0.3.5"
 FIRST_PORT_CANDIDATES = range(20_000, 30_000, 100)
 
-#: The last port of a range, on which targets end their tunnels.
+#: Offset of the last port of a range, on which targets terminate their tunnels.
 TUNNEL_OFFSET = 99
 
 
@@ -47,18 +47,18 @@
             return bind_udp(Endpoint(RESERVED_IP, port))
         except SettingsError:
             continue
-    raise SettingsError("no free ports on loopback", "end other stand-in systems")
+    raise SettingsError("no free ports on loopback", "stop other stand-in systems")
 
 
 async def hold_ports(reserved: socket.socket) -> None:
-    """Keep a range of ports until the task group ends."""
+    """Keep a range of ports reserved until the task group ends."""
     with reserved:
         await anyio.sleep_forever()
 
 
 @dataclass(slots=True)
 class Loopback:
-    """Fabric, callers, targets and hosts as tasks of one group."""
+    """Fabric, callers, targets and hosts as tasks of one task group."""
 
     group: TaskGroup
     rng: random.Random
@@ -66,7 +66,7 @@
     hosts: dict[str, HostDaemon] = field(default_factory=dict)
     scopes: dict[str, anyio.CancelScope] = field(default_factory=dict)
     targets: dict[str, TargetServer] = field(default_factory=dict)
-    #: Request ids in the order they ran, with the target.
+    #: Ids of requests in the order in which they were run, each with its target.
     executed: list[tuple[str, str]] = field(default_factory=list)
     fabric: Fabric = field(init=False)
     caller: Caller = field(init=False)
@@ -74,8 +74,8 @@
 
     def __post_init__(self) -> None:
         self.reserved = reserve_ports()
-        # From the first on: hosts may be started before, or without, the fabric, and
-        # another system on the machine would take their ports.
+        # Reserved before anything starts: hosts may be started before, or without, the
+        # fabric, and another system on the machine would otherwise take their ports.
         self.group.start_soon(hold_ports, self.reserved)
         first_port = self.reserved.getsockname()[1]
         self.tunnel_port = first_port + TUNNEL_OFFSET
@@ -88,7 +88,7 @@
         self.gateway = gateway
 
     gateway: Endpoint = field(init=False)
-    #: Keeps the range of ports from other systems on this machine.
+    #: Reserves the range of ports against other systems on this machine.
     reserved: socket.socket = field(init=False)
     tunnel_port: int = field(init=False)
 
@@ -98,7 +98,7 @@
         await self.group.start(self.caller.run)
 
     def make_host_sections(self, count: int) -> list[HostSection]:
-        """Return the settings sections of so many hosts."""
+        """Return the settings sections of ``count`` hosts."""
         return [self.make_host_section(index) for index in range(count)]
 
     def make_host_section(self, index: int) -> HostSection:
@@ -127,7 +127,7 @@
         )
 
     async def add_host(self, daemon: HostDaemon) -> None:
-        """Start a host daemon and have the fabric spray to it."""
+        """Start a host daemon, and add it to the fabric's hosts."""
         section = daemon.settings.host
         self.hosts[section.id] = daemon
         await self.group.start(self.run_host, daemon)
@@ -147,11 +147,15 @@
     async def add_target(self, target: Target, account: Account) -> TargetServer:
         """Start a target of a client account."""
 
-        def note(request: Request) -> None:
+        def record_run(request: Request) -> None:
             self.executed.append((request.request_id, target.target_id))
 
         server = TargetServer(
-            target.tunnel, account.addresses, self.fabric.pick_host, self.rng, note
+            target.tunnel,
+            account.addresses,
+            self.fabric.pick_host,
+            self.rng,
+            record_run,
         )
         self.targets[target.target_id] = server
         await self.group.start(server.run)
--- a/citronspring/standins/memory.py
+++ b/citronspring/standins/memory.py
@@ -1,4 +1,4 @@
-"""A platform in memory, with switches for what can fail."""
+"""An in-memory platform, with switches that inject failures."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 from citronspring.tokens.entries import count_of, epoch_of, ordered_revision
 
-#: Old versions kept of each key, so that reads can be stale.
+#: Versions kept of each key, so that stale reads have an old one to return.
 MAX_VERSIONS_KEPT = 8
 
 Sleep = Callable[[float], Awaitable[None]]
@@ -30,27 +30,27 @@
 
 @dataclass(slots=True)
 class Switches:
-    """What goes wrong; the counts run down to zero by themselves."""
+    """Failures to inject; each affected call decrements its count down to zero."""
 
-    #: No call is taken.
+    #: Every call fails.
     outage: bool = False
-    #: Seconds each call takes.
+    #: Delay of each call, seconds.
     delay: float = 0.0
-    #: The next writes take effect and their answers are lost.
+    #: Number of next writes that take effect but whose answers are lost.
     lost_answers: int = 0
-    #: The next writes are lost before they take effect.
+    #: Number of next writes that are lost before they take effect.
     lost_requests: int = 0
-    #: The next reads answer with an old version.
+    #: Number of next reads that return an old version.
     stale_reads: int = 0
-    #: How many versions old a stale read is.
+    #: Age of a stale read, in versions.
     stale_by: int = 1
-    #: The host list stays as it was when this was switched on.
+    #: The host list stays in the state that it had when this was switched on.
     stale_hosts: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformBackup:
-    """What a platform held at one moment."""
+    """The values of a platform at one moment."""
 
     values: dict[str, StoredValue]
     last_version: int
@@ -60,24 +60,24 @@
 class MemoryPlatform:
     """Keys, versions and the host list of one platform.
 
-    It holds no clock: a delay goes through ``sleep``, and without a delay only
-    ``watch`` ever suspends, so tests can run it under virtual time or by hand.
+    It reads no clock: a delay awaits ``sleep``, and without a delay only ``watch``
+    suspends, so tests can run it in virtual time or step by step.
     """
 
     switches: Switches = field(default_factory=Switches)
     sleep: Sleep = anyio.sleep
     #: Versions of each key, oldest first.
     values: dict[str, deque[StoredValue]] = field(default_factory=dict)
-    #: Rises over all keys, so that a key made again has a new version.
+    #: Increases over all keys, so that a recreated key gets a new version.
     last_version: int = ABSENT
     hosts: HostList = field(default_factory=HostList)
-    #: What the list answers while it is stale.
+    #: Host list returned while the list is stale.
     stale_hosts: HostList | None = None
-    #: Set, and replaced, at each write.
+    #: Set and discarded at each write; created by a watch that has to wait.
     write_event: anyio.Event | None = None
 
     async def get(self, key: str) -> StoredValue | None:
-        """Read a key, an old version of it while reads are stale."""
+        """Return the value of a key, an old version of it while reads are stale."""
         await self.begin_call()
         versions = self.values.get(key)
         if not versions:
@@ -92,7 +92,7 @@
         """Compare-and-swap a key."""
         if len(value) > MAX_VALUE_BYTES:
             raise ConfigurationError(
-                f"{key} has {len(value)} bytes", f"keep to {MAX_VALUE_BYTES}"
+                f"{key} has {len(value)} bytes", f"use at most {MAX_VALUE_BYTES}"
             )
         await self.begin_call()
         self.lose_request(key)
@@ -120,7 +120,7 @@
         return self.values[key][-1]
 
     async def list_hosts(self) -> HostList:
-        """Read the list of hosts, an old one while it is stale."""
+        """Return the list of hosts, an old one while it is stale."""
         await self.begin_call()
         if not self.switches.stale_hosts:
             self.stale_hosts = None
@@ -130,24 +130,24 @@
         return self.stale_hosts
 
     def backup(self) -> PlatformBackup:
-        """Return a copy of all values, to come back from."""
+        """Return a backup of all values for `restore`."""
         newest = {key: versions[-1] for key, versions in self.values.items()}
         return PlatformBackup(newest, self.last_version)
 
-    def restore(self, copy: PlatformBackup) -> None:
-        """Come back from an older copy; versions are given out again."""
+    def restore(self, backup: PlatformBackup) -> None:
+        """Restore a backup under a new epoch, in which version counts are reused."""
         epoch = epoch_of(self.last_version) + 1
 
-        def of_epoch(version: int) -> int:
+        def in_new_epoch(version: int) -> int:
             return ordered_revision(epoch, count_of(version))
 
-        self.last_version = of_epoch(copy.last_version)
+        self.last_version = in_new_epoch(backup.last_version)
         self.values = {
             key: deque(
-                [StoredValue(stored.value, of_epoch(stored.version))],
+                [StoredValue(stored.value, in_new_epoch(stored.version))],
                 maxlen=MAX_VERSIONS_KEPT,
             )
-            for key, stored in copy.values.items()
+            for key, stored in backup.values.items()
         }
         self.notify_watches()
 
@@ -158,7 +158,7 @@
         self.hosts = HostList(live, leaving)
 
     def set_switches(self, switches: Switches) -> None:
-        """Replace the switches; an outage ends the watches that wait."""
+        """Replace the switches; an outage ends pending watches."""
         self.switches = switches
         self.notify_watches()
 
@@ -168,7 +168,7 @@
         return versions[-1].version if versions else ABSENT
 
     def store(self, key: str, value: bytes) -> int:
-        """Write a key, whatever its version, and wake the watches."""
+        """Write a key regardless of its version, and notify pending watches."""
         self.last_version += 1
         versions = self.values.setdefault(key, deque(maxlen=MAX_VERSIONS_KEPT))
         versions.append(StoredValue(value, self.last_version))
@@ -176,13 +176,13 @@
         return self.last_version
 
     def notify_watches(self) -> None:
-        """Let the watches look again."""
+        """Let pending watches check their keys again."""
         if self.write_event is not None:
             self.write_event.set()
             self.write_event = None
 
     async def begin_call(self) -> None:
-        """Delay or refuse a call, as the switches say."""
+        """Delay or fail a call according to the switches."""
         self.raise_in_outage()
         if self.switches.delay > 0:
             await self.sleep(self.switches.delay)
@@ -192,17 +192,17 @@
         """Raise PlatformUnavailableError during an outage."""
         if self.switches.outage:
             raise PlatformUnavailableError(
-                "the platform takes no calls", "try again when it is back"
+                "the platform is unavailable", "retry when it is available again"
             )
 
     def lose_request(self, key: str) -> None:
-        """Lose a write before it takes effect, if switched so."""
+        """Raise OutcomeUnknownError if this write is to be lost before its effect."""
         if self.switches.lost_requests > 0:
             self.switches.lost_requests -= 1
             raise OutcomeUnknownError(f"no answer to the write of {key}")
 
     def lose_answer(self, key: str) -> None:
-        """Lose the answer to a write that took effect, if switched so."""
+        """Raise OutcomeUnknownError if the answer to this write is to be lost."""
         if self.switches.lost_answers > 0:
             self.switches.lost_answers -= 1
             raise OutcomeUnknownError(f"no answer to the write of {key}")
--- a/citronspring/standins/network.py
+++ b/citronspring/standins/network.py
@@ -1,8 +1,8 @@
-"""A small in-memory network in virtual time: real cores, stand-in ends.
+"""An in-memory network in virtual time that connects real cores and stand-ins.
 
-A fixture for tests, benchmarks and histories. Everything is seeded; nothing reads
-a clock. Packets between two places take a random delay, and may be lost,
-duplicated or cut.
+A fixture for tests, benchmarks and experiments. All randomness is seeded, and nothing
+reads a clock. Packets between two nodes take a random delay, and may be lost,
+duplicated or blocked by a network partition.
 """
 
 from __future__ import annotations
@@ -40,16 +40,16 @@
     from citronspring.messages import Action
     from citronspring.standins.service import Request
 
-#: Where callers and the fabric are.
+#: Node of the callers and the fabric.
 FABRIC = "fabric"
 
-#: Seconds between two ticks of cores and ends.
+#: Seconds between two ticks of cores and endpoints.
 TICK = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class LinkQuality:
-    """How packets between two places fare."""
+    """Delay of packets on a link, seconds, and chances of loss and duplication."""
 
     min_delay: float = 0.0005
     max_delay: float = 0.003
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Network:
-    """Hosts, targets and callers, and the time that passes between them."""
+    """Hosts, targets and callers, and the virtual time of their events."""
 
     rng: random.Random
     quality: LinkQuality = field(default_factory=LinkQuality)
@@ -70,15 +70,15 @@
     targets: dict[str, TargetStack] = field(default_factory=dict)
     callers: CallerStack = field(init=False)
     datagram_callers: DatagramCaller = field(default_factory=DatagramCaller)
-    #: Hosts the fabric sprays packets over; lags behind what is true.
+    #: Hosts over which the fabric spreads packets; may lag behind `hosts`.
     fabric_hosts: list[str] = field(default_factory=list)
-    #: Chooses the receiving host of a packet; random unless a run sets another.
+    #: Chooses the receiving host of a packet; random unless a run replaces it.
     choose_host: Callable[[FlowKey], str] = field(init=False)
-    #: Zone of each place, for cuts; places without a zone are never cut off.
+    #: Zone of each node, for partitions; a node without a zone is never partitioned.
     zones: dict[str, str] = field(default_factory=dict)
-    #: Pairs of zones between which nothing passes.
+    #: Pairs of zones between which no packet passes.
     partitions: set[frozenset[str]] = field(default_factory=set)
-    #: Places that neither send nor receive until they wake; packets wait.
+    #: Nodes that neither send nor receive until unfrozen; packets to them are held.
     frozen: set[str] = field(default_factory=set)
     held_deliveries: dict[str, list[Callable[[], None]]] = field(default_factory=dict)
     #: Called with each action of a host, for histories and counts.
@@ -93,18 +93,18 @@
         self.after(TICK, self.tick)
 
     def after(self, delay: float, action: Callable[[], None]) -> None:
-        """Run something later in virtual time."""
+        """Schedule an action after a delay in virtual time, seconds."""
         heapq.heappush(self.queue, (self.now + delay, next(self.serial), action))
 
     def run_until(self, end: float) -> None:
-        """Let virtual time pass."""
+        """Run all actions that are due up to a virtual time."""
         while self.queue and self.queue[0][0] <= end:
             self.now, _, action = heapq.heappop(self.queue)
             action()
         self.now = end
 
     def tick(self) -> None:
-        """Tick every core and every end that is awake."""
+        """Tick every core and endpoint that is not frozen."""
         for host_id, core in list(self.hosts.items()):
             if host_id not in self.frozen:
                 self.perform_actions(host_id, core.tick(self.now))
@@ -115,17 +115,17 @@
         self.send_caller_segments(self.callers.tick(self.now))
         self.after(TICK, self.tick)
 
-    # Places -------------------------------------------------------------------
+    # Nodes --------------------------------------------------------------------
 
     def add_host(self, core: Balancer) -> None:
-        """Add a host; the fabric sprays to it from now on."""
+        """Add a host, to which the fabric sends packets from now on."""
         tables = core.tables
         self.hosts[tables.host_id] = core
         self.zones[tables.host_id] = tables.zone
         self.fabric_hosts.append(tables.host_id)
 
     def kill_host(self, host_id: str) -> None:
-        """Lose a host and all it knew, at once."""
+        """Remove a host and its state at once, as a crash does."""
         self.hosts.pop(host_id, None)
         self.frozen.discard(host_id)
         self.held_deliveries.pop(host_id, None)
@@ -133,24 +133,24 @@
     def add_target(
         self, target_id: str, zone: str, on_run: Callable[[Request], None]
     ) -> TargetStack:
-        """Add a target's kernel and server."""
+        """Add the TCP stack and server of a target."""
         stack = TargetStack(self.rng, on_run)
         self.targets[target_id] = stack
         self.zones[target_id] = zone
         return stack
 
     def freeze(self, node: str) -> None:
-        """Stop a host or target without ending it; what arrives waits."""
+        """Suspend a host or target; packets to it are held until it is unfrozen."""
         self.frozen.add(node)
 
     def unfreeze(self, node: str) -> None:
-        """Let a frozen place go on, with all that waited for it."""
+        """Resume a frozen node and deliver the packets held for it."""
         self.frozen.discard(node)
         for action in self.held_deliveries.pop(node, []):
             action()
 
     def is_connected(self, source: str, destination: str) -> bool:
-        """Whether packets pass between two places."""
+        """Whether packets pass between two nodes."""
         zones = self.zones.get(source), self.zones.get(destination)
         return None in zones or frozenset(map(str, zones)) not in self.partitions
 
@@ -161,23 +161,23 @@
         deliver: Callable[[], None],
         flow: FlowKey | None = None,
     ) -> None:
-        """Take something from one place to another, as the link fares.
+        """Deliver from one node to another with the link's delay, loss and duplication.
 
         Datagrams of a flow are never duplicated: a service that runs requests in
-        single datagrams cannot tell the network's copy from a second request.
+        single datagrams cannot tell a duplicate from a second request.
         """
         if not self.is_connected(source, destination):
             return
         if self.rng.random() < self.quality.loss:
             return
-        twice = self.rng.random() < self.quality.duplication
-        copies = 2 if twice and (flow is None or flow[0] != Protocol.UDP) else 1
+        duplicated = self.rng.random() < self.quality.duplication
+        copies = 2 if duplicated and (flow is None or flow[0] != Protocol.UDP) else 1
         for _ in range(copies):
             delay = self.rng.uniform(self.quality.min_delay, self.quality.max_delay)
             self.after(delay, lambda: self.deliver_or_hold(destination, deliver))
 
     def deliver_or_hold(self, node: str, deliver: Callable[[], None]) -> None:
-        """Deliver, unless the place is frozen: then when it wakes."""
+        """Deliver now, or hold the delivery while the node is frozen."""
         if node in self.frozen:
             self.held_deliveries.setdefault(node, []).append(deliver)
         else:
@@ -196,14 +196,14 @@
         self.send_through_fabric(FABRIC, PacketReceived(packet), flow)
 
     def send_target_datagrams(self, target_id: str, datagrams: list[Datagram]) -> None:
-        """Spray a target's datagrams over the hosts."""
+        """Spread a target's datagrams over the hosts."""
         for datagram in datagrams:
             packet = datagram_packet(datagram, from_caller=False)
             event = PacketReceived(packet, target_id)
             self.send_through_fabric(target_id, event, datagram.flow)
 
     def send_caller_segments(self, outgoing: list[tuple[FlowKey, Segment]]) -> None:
-        """Spray callers' segments over the hosts."""
+        """Spread callers' segments over the hosts."""
         for flow, segment in outgoing:
             packet = packet_of(flow, segment, from_caller=True)
             self.send_through_fabric(FABRIC, PacketReceived(packet), flow)
@@ -211,7 +211,7 @@
     def send_target_segments(
         self, target_id: str, outgoing: list[tuple[FlowKey, Segment]]
     ) -> None:
-        """Spray a target's segments over the hosts."""
+        """Spread a target's segments over the hosts."""
         for flow, segment in outgoing:
             packet = packet_of(flow, segment, from_caller=False)
             self.send_through_fabric(target_id, PacketReceived(packet, target_id), flow)
@@ -219,7 +219,7 @@
     def send_through_fabric(
         self, source: str, event: PacketReceived, flow: FlowKey
     ) -> None:
-        """Hand a packet to the host the fabric picks."""
+        """Transmit a packet to the host that the fabric chooses."""
         if self.fabric_hosts:
             host_id = self.choose_host(flow)
             self.transmit(
@@ -227,20 +227,20 @@
             )
 
     def deliver_event(self, host_id: str, event: object) -> None:
-        """Give a host an event, if it lives."""
+        """Deliver an event to a host, if it is running."""
         core = self.hosts.get(host_id)
         if core is not None:
             self.perform_actions(host_id, core.receive(event, self.now))  # type: ignore[arg-type]
 
     def perform_actions(self, host_id: str, actions: list[Action]) -> None:
-        """Do what a core asks for."""
+        """Perform the actions that a core has returned."""
         for action in actions:
             for observer in self.observers:
                 observer(host_id, action)
             self.perform_action(host_id, action)
 
     def perform_action(self, host_id: str, action: Action) -> None:
-        """Do one thing a core asks for."""
+        """Perform one action of a core."""
         match action:
             case SendToTarget():
                 self.send_to_target(host_id, action.target_id, action.packet)
@@ -263,7 +263,7 @@
                     self.other_action_handler(host_id, action)
 
     def send_to_target(self, host_id: str, target_id: str, packet: Packet) -> None:
-        """Carry a packet through a target's tunnel."""
+        """Transmit a packet through a target's tunnel."""
 
         def deliver() -> None:
             stack = self.targets.get(target_id)
@@ -281,7 +281,7 @@
         self.transmit(host_id, target_id, deliver, packet.flow)
 
     def send_to_caller(self, host_id: str, packet: Packet) -> None:
-        """Carry an answer to its caller."""
+        """Transmit an answer to its caller."""
 
         def deliver() -> None:
             if packet.flow[0] == Protocol.UDP:
@@ -289,13 +289,13 @@
                 self.datagram_callers.receive(datagram)
                 return
             segment = segment_of(packet)
-            calls = self.callers.receive(packet.flow, segment, self.now)
-            self.send_caller_segments(calls)
+            outgoing = self.callers.receive(packet.flow, segment, self.now)
+            self.send_caller_segments(outgoing)
 
         self.transmit(host_id, FABRIC, deliver, packet.flow)
 
     def refuse(self, host_id: str, action: Refuse) -> None:
-        """Carry a refusal to its caller."""
+        """Transmit a refusal to its caller."""
         opening = action.packet
         text = f"{action.reason.value} {action.retry_at:.1f}".encode()
         if opening.flow[0] == Protocol.UDP:
@@ -307,7 +307,7 @@
         self.send_to_caller(host_id, packet)
 
     def relay(self, host_id: str, action: Relay) -> None:
-        """Carry a relayed packet or binding to another host."""
+        """Transmit a relayed packet or binding to another host."""
         event = RelayReceived(
             action.kind,
             host_id,
--- a/citronspring/standins/platform.py
+++ b/citronspring/standins/platform.py
@@ -1,4 +1,4 @@
-"""A small HTTP service in the place of the platform."""
+"""A small HTTP service that stands in for the platform."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     *,
     task_status: TaskStatus[Endpoint] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve a platform until cancelled; starts with the endpoint it got."""
+    """Serve a platform until cancelled; report the bound endpoint once started."""
     service = PlatformService(platform)
     await serve_application(
         make_application(service),
@@ -71,14 +71,14 @@
 
 @dataclass(slots=True)
 class PlatformService:
-    """The endpoints around one platform."""
+    """The HTTP handlers of one platform."""
 
     platform: MemoryPlatform
-    #: One scope for each watch that waits.
+    #: Cancel scopes of the pending watches.
     watches: set[anyio.CancelScope] = field(default_factory=set)
 
     async def get(self, request: Request) -> Response:
-        """Read a key; ``after`` and ``wait`` make it a watch."""
+        """Return the value of a key; with ``after`` in the query, watch it instead."""
         key = request.path_params["key"]
         if "after" in request.query_params:
             return await self.watch(request, key)
@@ -88,7 +88,7 @@
         return value_response(stored)
 
     async def watch(self, request: Request, key: str) -> Response:
-        """Hold the request until there is a newer version."""
+        """Return a newer version, or status 204 if none is written within ``wait``."""
         query = request.query_params
         wait = min(float(query.get("wait", WATCH_SECONDS)), WATCH_SECONDS)
         with anyio.move_on_after(wait) as scope:
@@ -104,7 +104,7 @@
         return Response(status_code=204)
 
     def end_watches(self) -> None:
-        """Answer "nothing new" to every watch that waits."""
+        """End every pending watch with status 204."""
         for scope in self.watches:
             scope.cancel()
 
@@ -124,7 +124,7 @@
         return Response(status_code=204)
 
     async def list_hosts(self, request: Request) -> Response:
-        """Read the list of hosts."""
+        """Return the list of hosts."""
         hosts = await self.platform.list_hosts()
         return JSONResponse(
             {"live": sorted(hosts.live), "leaving": sorted(hosts.leaving)}
@@ -137,11 +137,11 @@
         return Response(status_code=204)
 
     async def get_switches(self, request: Request) -> Response:
-        """Read the switches."""
+        """Return the switches."""
         return JSONResponse(asdict(self.platform.switches))
 
     async def set_switches(self, request: Request) -> Response:
-        """Replace the switches; those left out go back to their defaults."""
+        """Replace the switches; omitted ones return to their defaults."""
         try:
             switches = SWITCHES.validate_json(await request.body())
         except ValidationError as error:
@@ -151,7 +151,7 @@
 
 
 def value_response(stored: StoredValue) -> Response:
-    """Answer with a value and its version."""
+    """Return a response with a value and its version."""
     return Response(stored.value, headers=version_headers(stored.version))
 
 
@@ -164,20 +164,20 @@
 
 
 async def handle_unavailable(request: Request, error: Exception) -> Response:
-    """Answer during an outage."""
+    """Return status 503 during an outage."""
     return JSONResponse({"message": str(error)}, status_code=503)
 
 
 async def handle_outcome_unknown(request: Request, error: Exception) -> Response:
-    """Answer as a gateway does that got no answer itself."""
+    """Return status 504, as a gateway does whose upstream has not answered."""
     return JSONResponse({"message": str(error)}, status_code=504)
 
 
 async def handle_version_mismatch(request: Request, error: Exception) -> Response:
-    """Answer to a compare-and-swap of an old version."""
+    """Return status 412 for a compare-and-swap with an outdated version."""
     return JSONResponse({"message": str(error)}, status_code=412)
 
 
 async def handle_oversized_value(request: Request, error: Exception) -> Response:
-    """Answer to a value above the limit."""
+    """Return status 413 for a value above the size limit."""
     return JSONResponse({"message": str(error)}, status_code=413)
--- a/citronspring/standins/sample_configuration.py
+++ b/citronspring/standins/sample_configuration.py
@@ -1,4 +1,4 @@
-"""The client accounts that stand-in systems run, and the operator who sets them up."""
+"""The client accounts of stand-in systems, and an operator that creates them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 #: Availability zones of the stand-in systems.
 SYSTEM_ZONES = ("drukkerij", "zetterij", "pakhuis")
 
-#: Targets of each client account.
+#: Number of targets of each client account.
 TARGETS_PER_ACCOUNT: Mapping[str, int] = {"bundelpers": 7, "inzendloket": 3}
 
 SERVICE_PORT = 443
@@ -25,7 +25,7 @@
 
 TEMPLATE_NAME = "web-service"
 
-#: One kind of service: TCP and UDP on one address.
+#: Template of a service: TCP and UDP on one address.
 TEMPLATE: dict[str, Any] = {
     "name": TEMPLATE_NAME,
     "parameters": {
@@ -52,7 +52,7 @@
     zones: tuple[str, ...] = SYSTEM_ZONES,
     port: int = TUNNEL_PORT,
 ) -> dict[str, Any]:
-    """Return the parameters of one target; its tunnel follows from its number."""
+    """Return the parameters of one target; its number determines its tunnel."""
     index = list(TARGETS_PER_ACCOUNT).index(account_id)
     return {
         "target_id": f"{account_id}-{number}",
@@ -67,7 +67,7 @@
     zones: tuple[str, ...] = SYSTEM_ZONES,
     port: int = TUNNEL_PORT,
 ) -> dict[str, Any]:
-    """Return the parameters of a client account with so many targets."""
+    """Return the parameters of a client account with ``count`` targets."""
     index = list(TARGETS_PER_ACCOUNT).index(account_id)
     return {
         "address": f"192.0.2.{index + 1}",
@@ -81,19 +81,19 @@
 
 @dataclass(slots=True)
 class Operator:
-    """Makes changes through the configuration store.
+    """An operator that makes changes through the configuration store.
 
-    Each change has an id of its own, which a repeated commit keeps.
+    Each change has its own id, which a retry of its commit keeps.
     """
 
     store: ConfigurationStore
-    #: Time from which retentions of removed targets run.
+    #: Returns the time from which the retention of removed targets counts.
     clock: Callable[[], float]
     name: str = "operator"
     numbers: itertools.count[int] = field(default_factory=itertools.count)
 
     def identity(self) -> dict[str, str]:
-        """Return change id and author of a new change."""
+        """Return the id and the author of a new change."""
         token = f"{self.name}-{next(self.numbers)}"
         return {"change_id": self.store.new_change_id(token), "author": self.name}
 
@@ -102,7 +102,7 @@
         return await self.store.commit(change, self.clock())
 
     async def set_up(self, port: int = TUNNEL_PORT) -> None:
-        """Create the template and the client accounts, tunnels on one port."""
+        """Create the template and the client accounts; all tunnels use one port."""
         await self.commit(PutTemplate(template=TEMPLATE, **self.identity()))
         for account_id, count in TARGETS_PER_ACCOUNT.items():
             parameters = account_parameters(account_id, count, port=port)
@@ -118,7 +118,7 @@
         )
 
     async def drain(self, account_id: str, target_id: str) -> Committed:
-        """Let a target take no new flows."""
+        """Drain a target, so that it takes no new flows."""
         change = DrainTarget(
             account_id=account_id, target_id=target_id, **self.identity()
         )
--- a/citronspring/standins/service.py
+++ b/citronspring/standins/service.py
@@ -1,7 +1,7 @@
-"""The service that stand-in targets run and stand-in callers ask for.
+"""The service that stand-in targets provide to stand-in callers.
 
-A request is one connection: a header line, for uploads a body, then the answer.
-Each answer names its request, so that another request's answer shows.
+Each request has a connection of its own: a header line, a body for uploads, then the
+answer. An answer names its request, so that callers detect the answer to another one.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
     from citronspring.standins.tcp import Connection
 
 
-#: A paced body goes in pieces of this many bytes: each acknowledgement would
-#: otherwise let a few bytes go, and a slow stream cost thousands of packets.
+#: Paced bodies are sent in chunks of this many bytes. Otherwise each acknowledgement
+#: would release a few bytes, and a slow stream would cost thousands of packets.
 PACED_CHUNK = 512
 
 
 class RequestKind(Enum):
-    """What a caller asks for."""
+    """Kinds of requests."""
 
-    #: Caller sends a long body, target answers with its digest.
+    #: The caller sends a long body, the target answers with its digest.
     UPLOAD = "UPLOAD"
-    #: Target streams a long body.
+    #: The target streams a long body.
     PREVIEW = "PREVIEW"
-    #: Non-idempotent: must run at most once.
+    #: Non-idempotent: must be run at most once.
     CORRECTION = "CORRECTION"
 
 
@@ -43,9 +43,9 @@
 
     request_id: str
     kind: RequestKind
-    #: Bytes of the body that is uploaded or streamed.
+    #: Size of the body that is uploaded or streamed, bytes.
     size: int
-    #: Bytes a second at which the body goes.
+    #: Rate at which the body is sent, bytes per second.
     rate: float
 
     def header(self) -> bytes:
@@ -55,20 +55,20 @@
 
     @classmethod
     def from_header(cls, line: bytes) -> Request:
-        """Read a request line."""
+        """Parse a request line."""
         kind, request_id, size, rate = line.decode().split()
         return cls(request_id, RequestKind(kind), int(size), float(rate))
 
 
 def request_body(request: Request) -> bytes:
-    """Return the body of a request, made from its id."""
+    """Return the body of a request, which is derived from its id."""
     block = xxh64_digest(request.request_id.encode())
     return (block * (request.size // len(block) + 1))[: request.size]
 
 
 @lru_cache(maxsize=4096)
 def expected_answer(request: Request) -> bytes:
-    """Return the whole answer to a request."""
+    """Return the complete answer to a request."""
     done = f"DONE {request.request_id} {xxh64_hexdigest(request_body(request))}\n"
     if request.kind is RequestKind.PREVIEW:
         return request_body(request) + done.encode()
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class PacedBody:
-    """A body that is sent at a rate."""
+    """A body that is sent at a fixed rate."""
 
     data: bytes
     rate: float
@@ -96,7 +96,7 @@
 
     @property
     def finished(self) -> bool:
-        """Whether all of the body was handed out."""
+        """Whether the whole body has been taken."""
         return self.sent == len(self.data)
 
 
@@ -111,7 +111,7 @@
     answered: bool = False
 
     def advance(self, connection: Connection, now: float) -> None:
-        """Do what the bytes received so far allow."""
+        """Process the bytes received so far, and send what is due."""
         if self.request is None and not self.read_header(connection, now):
             return
         assert self.request is not None
@@ -123,7 +123,7 @@
             self.answer(connection, now)
 
     def read_header(self, connection: Connection, now: float) -> bool:
-        """Read the request line once it is whole."""
+        """Read the request line once it is complete; return whether it is."""
         line, newline, rest = bytes(connection.received).partition(b"\n")
         if not newline:
             return False
@@ -157,16 +157,16 @@
 
 
 class Outcome(Enum):
-    """What a caller got."""
+    """Outcome of a request as its caller observes it."""
 
     COMPLETED = "whole"
-    #: Told that nothing was run.
+    #: A refusal, which guarantees that the request was not run.
     REFUSED = "refused"
-    #: The connection broke after it was established, or never answered.
+    #: The connection broke after it was established, or was never answered.
     BROKEN = "broken"
-    #: An answer that is not the caller's own.
+    #: An answer other than the expected one, such as that to another request.
     WRONG = "wrong"
-    #: A datagram that nothing answered; the network may have lost it.
+    #: A datagram without an answer; the network may have lost it.
     UNANSWERED = "unanswered"
 
 
@@ -178,12 +178,12 @@
     body: PacedBody | None = None
     header_sent: bool = False
     outcome: Outcome | None = None
-    #: Text that came with a refusal.
+    #: Text of the refusal.
     refusal: str = ""
     endings: list[str] = field(default_factory=list)
 
     def advance(self, connection: Connection, now: float) -> None:
-        """Send what is due and judge what came."""
+        """Send what is due, and check what was received."""
         if self.outcome is not None:
             return
         if connection.state is State.ESTABLISHED:
@@ -213,7 +213,7 @@
                 connection.send(chunk, now)
 
     def check_answer(self, connection: Connection, now: float) -> None:
-        """Compare the answer with the one that belongs to the request."""
-        own = bytes(connection.received) == expected_answer(self.request)
-        self.outcome = Outcome.COMPLETED if own else Outcome.WRONG
+        """Compare the answer with the expected one, and close the connection."""
+        matches = bytes(connection.received) == expected_answer(self.request)
+        self.outcome = Outcome.COMPLETED if matches else Outcome.WRONG
         connection.close(now)
--- a/citronspring/standins/stacks.py
+++ b/citronspring/standins/stacks.py
@@ -1,4 +1,4 @@
-"""The stand-in kernels of a target and of a caller: connections by flow."""
+"""The TCP stacks of stand-in targets and callers: connections by flow."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from citronspring.entities import FlowKey
     from citronspring.standins.service import Request
 
-#: Seconds a closed connection still acknowledges the other side's FIN.
+#: Seconds for which a closed connection still acknowledges the other side's FIN.
 LINGER_SECONDS = 5.0
 
 MAX_SEQUENCE = 0xFFFFFFFF
@@ -27,19 +27,19 @@
 
 
 def reset_unknown(flow: FlowKey, segment: Segment) -> list[Outgoing]:
-    """Return the answer to a segment of no known connection."""
+    """Return the reset for a segment of an unknown connection; resets get none."""
     if segment.flags & RST:
         return []
     return [(flow, reset_for(segment))]
 
 
 def take_outgoing(flow: FlowKey, connection: Connection) -> list[Outgoing]:
-    """Take what a connection has queued."""
+    """Remove and return the segments that a connection has queued."""
     return [(flow, item) for item in connection.take_outbox()]
 
 
 def pop_expired(remove_at: dict[FlowKey, float], now: float) -> list[FlowKey]:
-    """Take the flows whose closed connections are to be forgotten."""
+    """Remove and return the flows whose closed connections have expired."""
     flows = [flow for flow, due in remove_at.items() if due <= now]
     for flow in flows:
         del remove_at[flow]
@@ -48,18 +48,18 @@
 
 @dataclass(slots=True, eq=False)
 class TargetStack:
-    """A target's kernel and server."""
+    """The TCP stack and server of a target."""
 
     rng: random.Random
     #: Called with each request that runs.
     on_run: Callable[[Request], None]
     connections: dict[FlowKey, Connection] = field(default_factory=dict)
     sessions: dict[FlowKey, ServerSession] = field(default_factory=dict)
-    #: Closed connections by flow, and when they are forgotten.
+    #: Times at which closed connections are removed, by flow.
     remove_at: dict[FlowKey, float] = field(default_factory=dict)
-    #: Answers every SYN with a reset while set.
+    #: Answer every SYN with a reset while set.
     shedding: bool = False
-    #: Times of accepted connections, to tell whether a leaving target gets work.
+    #: Times of accepted connections, to detect new flows on a leaving target.
     accepted_at: list[float] = field(default_factory=list)
     datagrams: DatagramServer = field(init=False)
 
@@ -78,7 +78,7 @@
         return self.advance(flow, connection, now)
 
     def open(self, flow: FlowKey, segment: Segment, now: float) -> list[Outgoing]:
-        """Accept a connection, or shed it."""
+        """Accept a connection, or refuse it while shedding load."""
         if self.shedding:
             return [(flow, reset_for(segment))]
         initial_seq = self.rng.randint(0, MAX_SEQUENCE)
@@ -92,7 +92,7 @@
     def advance(
         self, flow: FlowKey, connection: Connection, now: float
     ) -> list[Outgoing]:
-        """Let the server act and collect what is to be sent."""
+        """Advance the server's session, and return what to send."""
         if connection.state is State.ESTABLISHED:
             self.sessions[flow].advance(connection, now)
         elif connection.state is State.CLOSED:
@@ -100,7 +100,7 @@
         return take_outgoing(flow, connection)
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Run timers and paced streams."""
+        """Run timers, send what is due of streams, and remove expired connections."""
         outgoing: list[Outgoing] = []
         for flow, connection in list(self.connections.items()):
             connection.tick(now)
@@ -112,18 +112,18 @@
 
     @property
     def open_count(self) -> int:
-        """Connections that are not closed."""
+        """Number of connections that are not closed."""
         return sum(item.state is not State.CLOSED for item in self.connections.values())
 
 
 @dataclass(slots=True, eq=False)
 class CallerStack:
-    """A caller's kernel and the requests it makes."""
+    """The TCP stack of callers, and their requests."""
 
     rng: random.Random
     connections: dict[FlowKey, Connection] = field(default_factory=dict)
     sessions: dict[FlowKey, CallerSession] = field(default_factory=dict)
-    #: Closed connections by flow, and when they are forgotten.
+    #: Times at which closed connections are removed, by flow.
     remove_at: dict[FlowKey, float] = field(default_factory=dict)
 
     def open(self, flow: FlowKey, request: Request, now: float) -> list[Outgoing]:
@@ -146,7 +146,7 @@
     def advance(
         self, flow: FlowKey, connection: Connection, now: float
     ) -> list[Outgoing]:
-        """Let the request go on and collect what is to be sent."""
+        """Advance the request, and return what to send."""
         session = self.sessions.get(flow)
         if session is not None:
             session.advance(connection, now)
@@ -155,7 +155,7 @@
         return take_outgoing(flow, connection)
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Run timers and paced uploads."""
+        """Run timers, send what is due of uploads, and remove expired connections."""
         outgoing: list[Outgoing] = []
         for flow, connection in list(self.connections.items()):
             connection.tick(now)
--- a/citronspring/standins/target.py
+++ b/citronspring/standins/target.py
@@ -1,4 +1,4 @@
-"""A stand-in for a target: a tunnel end, a small kernel and a server."""
+"""A stand-in for a target: a tunnel endpoint, a small TCP stack and a server."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
     Parameters
     ----------
     tunnel : Endpoint
-        Where hosts send its packets.
+        Tunnel endpoint to which hosts send its packets.
     addresses : tuple of ServiceAddress
-        Service addresses configured on its interface; others it discards.
+        Service addresses configured on its interface; packets to others are discarded.
     pick_host : callable
-        The route of its answers: returns the host for one packet.
+        Returns the host through which one answer packet is sent.
     rng : random.Random
-        Initial sequence numbers.
+        Source of initial sequence numbers.
     on_run : callable
         Called with each request that runs.
     """
@@ -52,11 +52,11 @@
         self.ports = {(item.ip, item.port) for item in addresses}
         self.pick_host = pick_host
         self.stack = TargetStack(rng, on_run)
-        #: Packets for a service address that is not its account's.
+        #: Number of packets for a service address of another client account.
         self.foreign = 0
 
     def receive(self, datagram: bytes, source: Source) -> None:
-        """Handle a tunnelled packet."""
+        """Handle a packet from the tunnel."""
         try:
             packet = decode_packet(decapsulate(datagram), from_caller=True)
         except MalformedPacketError:
@@ -73,11 +73,11 @@
         return (ip, int.from_bytes(packet.flow[5:7], "big")) in self.ports
 
     def tick(self) -> None:
-        """Run timers and streams once."""
+        """Run timers, and send what is due of streams."""
         self.answer(self.stack.tick(anyio.current_time()))
 
     def answer(self, outgoing: list[Outgoing]) -> None:
-        """Send segments through the tunnel towards any host."""
+        """Send segments through the tunnel, each to a host from `pick_host`."""
         for item in outgoing:
             host = self.pick_host()
             if host is not None:
--- a/citronspring/standins/tcp.py
+++ b/citronspring/standins/tcp.py
@@ -1,7 +1,7 @@
-"""A small TCP for stand-ins: enough of RFC 9293 to show what a balancer breaks.
+"""A small TCP for stand-ins: enough of RFC 9293 to show faults of a load balancer.
 
-No congestion control and a fixed window; but sequence numbers, retransmission,
-resets and challenge acknowledgements behave as a target's or caller's kernel does.
+It has a fixed window and no congestion control. Sequence numbers, retransmission,
+resets and challenge acknowledgements behave as in a target's or caller's kernel.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 #: Payload bytes of one segment.
 SEGMENT_SIZE = 1200
 
-#: Bytes sent ahead of the other side's acknowledgement.
+#: Most bytes that are sent before the other side acknowledges them.
 SEND_WINDOW = 32 * SEGMENT_SIZE
 
-#: Bytes the other side may send ahead.
+#: Most bytes that the other side may send before they are acknowledged.
 RECEIVE_WINDOW = 65535
 
-#: First and longest time until a segment is sent again, seconds.
+#: Initial and longest retransmission time-out, seconds.
 INITIAL_RTO = 0.3
 MAX_RTO = 2.0
 
-#: Retransmissions in a row after which a connection counts as broken.
+#: Consecutive retransmissions after which a connection times out.
 MAX_RETRANSMISSIONS = 14
 
-#: Out-of-order segments kept.
+#: Most out-of-order segments that are kept.
 MAX_OUT_OF_ORDER = 64
 
 
 class State(Enum):
-    """States of a connection; closing is told by its flags."""
+    """States of a connection; `Connection` has flags for the closing ones."""
 
     SYN_SENT = "syn-sent"
     SYN_RECEIVED = "syn-received"
@@ -63,7 +63,7 @@
 
 
 def sequence_difference(a: int, b: int) -> int:
-    """Return how far sequence number a lies after b; negative if before."""
+    """Return a minus b for sequence numbers; negative if a lies before b."""
     return ((a - b + HALF_SEQUENCE_SPACE) & SEQUENCE_MASK) - HALF_SEQUENCE_SPACE
 
 
@@ -72,22 +72,22 @@
     """One side of a TCP connection."""
 
     state: State
-    #: Next number to send, and first one not acknowledged.
+    #: Next sequence number to send, and first one not acknowledged.
     next_seq: int
     unacknowledged: int
-    #: Next number expected from the other side.
+    #: Next sequence number expected from the other side.
     expected: int = 0
     #: Bytes from ``unacknowledged`` on, sent or not.
     buffer: bytearray = field(default_factory=bytearray)
     received: bytearray = field(default_factory=bytearray)
     outbox: list[Segment] = field(default_factory=list)
     out_of_order: dict[int, Segment] = field(default_factory=dict)
-    #: The application asked to close after what is buffered.
+    #: The application has asked to close after the buffered data.
     closing: bool = False
     fin_sent: bool = False
     fin_received: bool = False
     ending: Ending | None = None
-    #: Text that came with a refusal.
+    #: Payload of the refusal.
     refusal: bytes = b""
     #: Time of the next retransmission; None while nothing is outstanding.
     retransmit_at: float | None = None
@@ -133,7 +133,7 @@
         self.push(now)
 
     def close(self, now: float) -> None:
-        """Send FIN after what is buffered."""
+        """Send a FIN after the buffered data."""
         self.closing = True
         self.push(now)
 
@@ -167,7 +167,7 @@
                 self.receive_closed(segment)
 
     def receive_closed(self, segment: Segment) -> None:
-        """Reset the late answer to a refused opening; acknowledge a FIN again."""
+        """Reset late answers to a refused opening; acknowledge a retransmitted FIN."""
         if segment.flags & RST:
             return
         if self.ending is Ending.REFUSED and segment.flags & ACK:
@@ -176,7 +176,7 @@
             self.emit(ACK, self.next_seq)
 
     def receive_in_syn_sent(self, segment: Segment, now: float) -> None:
-        """Wait for the SYN-ACK, or the refusal, of our SYN."""
+        """Handle the answer to the SYN: a SYN-ACK or a refusal."""
         if not segment.flags & ACK or segment.ack != self.next_seq:
             if segment.flags & ACK and not segment.flags & RST:
                 self.emit(RST, segment.ack)
@@ -197,9 +197,9 @@
         self.restart_timer(now)
 
     def receive_in_syn_received(self, segment: Segment, now: float) -> None:
-        """Wait for the caller's acknowledgement of our SYN-ACK."""
+        """Handle the caller's acknowledgement of the SYN-ACK."""
         if segment.flags & RST:
-            # As Linux does: a half-open connection drops on any number in its window.
+            # As in Linux, any number in the window resets a half-open connection.
             if 0 <= sequence_difference(segment.seq, self.expected) < RECEIVE_WINDOW:
                 self.end(Ending.RESET)
         elif segment.flags & SYN:
@@ -227,14 +227,14 @@
             self.receive_data(segment)
             self.emit(ACK, self.next_seq)
         elif sequence_difference(segment.seq, self.expected) == -1:
-            # A keep-alive. Older bare acknowledgements were only reordered: to
-            # answer them too would bounce acknowledgements for ever.
+            # A keep-alive. Older acknowledgements without data are merely reordered;
+            # answering them as well would exchange acknowledgements endlessly.
             self.emit(ACK, self.next_seq)
         self.close_if_finished()
         self.push(now)
 
     def process_acknowledgement(self, segment: Segment, now: float) -> None:
-        """Drop acknowledged bytes from the buffer."""
+        """Remove acknowledged bytes from the buffer."""
         advance = sequence_difference(segment.ack, self.unacknowledged)
         if advance <= 0:
             return
@@ -251,7 +251,7 @@
             self.set_timer(now)
 
     def receive_data(self, segment: Segment) -> None:
-        """Take data in order; keep some that came early."""
+        """Append data in order; keep a limited number of out-of-order segments."""
         if sequence_difference(segment.seq, self.expected) > 0:
             if len(self.out_of_order) < MAX_OUT_OF_ORDER:
                 self.out_of_order[segment.seq] = segment
@@ -261,7 +261,7 @@
             self.append_in_order(early)
 
     def append_in_order(self, segment: Segment) -> None:
-        """Take the new part of a segment that starts at or before `expected`."""
+        """Append the new part of a segment that starts at or before `expected`."""
         skip = sequence_difference(self.expected, segment.seq)
         fresh = segment.payload[skip:]
         end = (segment.seq + len(segment.payload)) & SEQUENCE_MASK
@@ -278,13 +278,13 @@
             self.end(Ending.FINISHED)
 
     def end(self, ending: Ending) -> None:
-        """Close, for a reason."""
+        """Close the connection and record how it ended."""
         self.state = State.CLOSED
         self.ending = ending
         self.retransmit_at = None
 
     def tick(self, now: float) -> None:
-        """Retransmit what is overdue."""
+        """Retransmit if the timer has expired."""
         if self.retransmit_at is None or now < self.retransmit_at:
             return
         self.retransmissions += 1
@@ -296,7 +296,7 @@
         self.retransmit()
 
     def retransmit(self) -> None:
-        """Send the first outstanding segment again."""
+        """Retransmit the first outstanding segment."""
         match self.state:
             case State.SYN_SENT:
                 self.emit(SYN, self.unacknowledged)
@@ -310,7 +310,7 @@
 
 
 def reset_for(segment: Segment) -> Segment:
-    """Return the reset that answers a segment of no known connection."""
+    """Return the reset that answers a segment of an unknown connection."""
     if segment.flags & ACK:
         return Segment(RST, segment.ack, 0)
     length = len(segment.payload) + bool(segment.flags & (SYN | FIN))
--- a/tests/test_standins/__init__.py
+++ b/tests/test_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of standins."""
+"""Tests of the stand-ins."""
--- a/tests/test_standins/test_memory.py
+++ b/tests/test_standins/test_memory.py
@@ -1,4 +1,4 @@
-"""The platform in memory: compare-and-swap, watches and its switches."""
+"""The in-memory platform: compare-and-swap, watches and switches."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 
 async def test_recreated_key_gets_a_higher_version():
-    """A writer still holds the version of a key that was deleted and made again.
+    """A key is deleted and recreated while a writer still has its old version.
 
-    Were versions to start again, its compare-and-swap would succeed on a value
+    If versions started again, the writer's compare-and-swap would replace a value
     that it has never seen.
     """
     platform = MemoryPlatform()
@@ -52,9 +52,9 @@
 
 
 async def test_lost_answer_and_lost_request_raise_the_same_error():
-    """A writer gets no answer, once after the effect and once before it.
+    """A write takes effect without an answer, another is lost before its effect.
 
-    The errors are the same, so only reading can tell what happened.
+    Both raise the same error, so only a read shows whether the write took effect.
     """
     platform = MemoryPlatform(Switches(lost_answers=1))
     with pytest.raises(OutcomeUnknownError):
@@ -95,10 +95,10 @@
 
 
 async def test_an_outage_ends_watches_and_refuses_calls():
-    """A reader waits in a watch while the platform goes away.
+    """An outage begins while a reader waits in a watch.
 
-    It has to hear of it at once: a watch that hung on after the outage would
-    never see the changes that come later.
+    The watch has to fail at once: if it stayed pending after the outage, it would
+    never report later changes.
     """
     platform = MemoryPlatform()
     failures = []
@@ -131,14 +131,14 @@
 
 
 async def test_delay_uses_the_injected_sleep():
-    naps = []
+    delays = []
 
     async def sleep(seconds):
-        naps.append(seconds)
+        delays.append(seconds)
 
     platform = MemoryPlatform(Switches(delay=3.0), sleep)
     await platform.get("key")
-    assert naps == [3.0]
+    assert delays == [3.0]
 
 
 async def test_failed_calls_are_counted_too():
