--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Real host processes under faults from outside, judged by what callers see."""
+"""Soak test: real host processes under injected faults, checked by callers' results."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs seeds of the soak side by side: ``python -m soak --first=0 --seeds=50``."""
+"""Run seeds of the soak test in parallel: ``python -m soak --first=0 --seeds=50``."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 
 FIRST = flags.DEFINE_integer("first", 0, "First seed.")
 SEEDS = flags.DEFINE_integer("seeds", 50, "Number of seeds.", lower_bound=1)
-JOBS = flags.DEFINE_integer("jobs", 3, "Seeds at once, four processes each.")
-SECONDS = flags.DEFINE_float("seconds", 24.0, "Seconds of traffic of a seed.")
+JOBS = flags.DEFINE_integer("jobs", 3, "Seeds run in parallel, four processes each.")
+SECONDS = flags.DEFINE_float("seconds", 24.0, "Seconds of traffic per seed.")
 
 
-ZONES = flags.DEFINE_bool("zones", False, "Have operators drain zones, too.")
+ZONES = flags.DEFINE_bool("zones", False, "Also drain availability zones.")
 RESTORES = flags.DEFINE_bool(
-    "restores", False, "Have the store come back from older copies, too."
+    "restores", False, "Also drain zones and restore the store from backups."
 )
 
 
 def verdict(
     seed: int, seconds: float, fault_kinds: tuple[str, ...]
 ) -> tuple[int, list[str], str]:
-    """Run a seed; return it with what was broken and a line about it."""
+    """Run a seed; return it with its violations and a summary line."""
     soak = run_seed(seed, seconds, fault_kinds)
     requests = soak.checker.requests
-    served = sum(one.answered_at is not None for one in requests)
+    served = sum(request.answered_at is not None for request in requests)
     line = f"seed {seed}: {served} of {len(requests)} served; {', '.join(soak.faults)}"
     return seed, soak.violations, line
 
 
 def main(argv: list[str]) -> int:
-    """Run the seeds that were asked for; return 1 if a promise was broken."""
+    """Run the requested seeds; return 1 if a guarantee was violated."""
     del argv
     seeds = range(FIRST.value, FIRST.value + SEEDS.value)
     failed = []
@@ -44,11 +44,11 @@
         if RESTORES.value:
             fault_kinds = RESTORE_FAULTS
         runs = pool.map(verdict, seeds, repeat(SECONDS.value), repeat(fault_kinds))
-        for seed, broken, line in runs:
+        for seed, violations, line in runs:
             print(line, flush=True)
-            for text in broken:
+            for text in violations:
                 print(f"  broken: {text}", flush=True)
-            if broken:
+            if violations:
                 failed.append(seed)
     print(f"{len(seeds)} seeds, {len(failed)} with a broken promise: {failed}")
     return 1 if failed else 0
--- a/soak/clock.py
+++ b/soak/clock.py
@@ -12,15 +12,15 @@
     import socket
     from collections.abc import Callable
 
-#: Largest datagram read.
+#: Largest datagram that is read, bytes.
 MAX_DATAGRAM_BYTES = 2048
 
 
 class RealClock:
-    """Runs functions at real times and reads sockets in between.
+    """Calls functions at real times and reads sockets in between.
 
     It has the methods of the emulator's clock, so that callers and targets of the
-    emulator meet real hosts.
+    emulator can exchange packets with real hosts.
     """
 
     def __init__(self, seed: int) -> None:
@@ -35,24 +35,24 @@
         """Return the seconds since the start."""
         return time.monotonic() - self.started_at
 
-    def at(self, moment: float, run: Callable[[], None]) -> None:
-        """Have a function run at a time."""
+    def at(self, moment: float, callback: Callable[[], None]) -> None:
+        """Call a function at a time."""
         self.timer_count += 1
-        heappush(self.timers, (moment, self.timer_count, run))
+        heappush(self.timers, (moment, self.timer_count, callback))
 
-    def after(self, seconds: float, run: Callable[[], None]) -> None:
-        """Have a function run after some seconds."""
-        self.at(self.now + seconds, run)
+    def after(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call a function after some seconds."""
+        self.at(self.now + seconds, callback)
 
     def add_reader(
-        self, sock: socket.socket, take: Callable[[bytes, tuple[str, int]], None]
+        self, sock: socket.socket, handler: Callable[[bytes, tuple[str, int]], None]
     ) -> None:
-        """Hand each datagram of a socket to a function, with its source."""
+        """Call a function with each datagram of a socket and its source."""
         sock.setblocking(False)
-        self.selector.register(sock, EVENT_READ, (sock, take))
+        self.selector.register(sock, EVENT_READ, (sock, handler))
 
     def run_until(self, end: float) -> None:
-        """Run everything up to a time."""
+        """Read sockets and call what is due until a time."""
         while self.now < end:
             due = self.timers[0][0] if self.timers else end
             for key, _ in self.selector.select(max(0.0, min(due, end) - self.now)):
@@ -61,12 +61,12 @@
                 heappop(self.timers)[2]()
 
     def read_all(
-        self, sock: socket.socket, take: Callable[[bytes, tuple[str, int]], None]
+        self, sock: socket.socket, handler: Callable[[bytes, tuple[str, int]], None]
     ) -> None:
-        """Read a socket empty."""
+        """Read all pending datagrams of a socket."""
         while True:
             try:
                 data, source = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
-            take(data, source)
+            handler(data, source)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the soak: from outside, in series and overlapping, and undone again."""
+"""Faults that the soak injects, in series and overlapping, and ends again."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
     "lossy",
 )
 
-#: The same, and zones that operators drain. Apart, so that the seeds of the runs above
-#: go on meaning what they did.
+#: `FAULTS` and drains of zones. A longer `FAULTS` would change which faults its seeds
+#: choose, so this is a list of its own.
 ZONE_FAULTS = (*FAULTS, "drain")
 
-#: The same, and a store that comes back from an older copy.
+#: `ZONE_FAULTS` and, twice as likely as the others, restores of the store.
 RESTORE_FAULTS = (*ZONE_FAULTS, "restore", "restore")
 
-#: Seconds for which the store is away before it comes back, and within which operators
-#: and targets write again what it has lost.
+#: Seconds for which the store refuses calls before it is restored, and within which
+#: operators and targets then rewrite what it has lost.
 RESTORE_OUTAGE_SECONDS = 0.4
 MAX_REWRITE_DELAY = 1.2
 
 
-#: Seconds that a drain lasts at least.
+#: Shortest duration of a drain, seconds.
 DRAIN_SECONDS = 6.0
 
 
 def inject_random_fault(soak: Soak, end: float) -> None:
-    """Let a fault befall something, and draw the time of the next."""
+    """Inject a random fault, and schedule the next one at a random time."""
     if soak.clock.now >= end:
         return
     rng = soak.clock.rng
@@ -60,7 +60,7 @@
 
 
 def apply_fault(soak: Soak, kind: str, host: HostProcess, seconds: float) -> None:
-    """Do what a kind of fault does, and undo it after some seconds."""
+    """Apply a fault of a kind, and end it after some seconds."""
     match kind:
         case "kill":
             host.kill()
@@ -95,31 +95,31 @@
             undo_later(soak, seconds, lambda: end_loss(soak))
 
 
-def undo_later(soak: Soak, seconds: float, run: Callable[[], None]) -> None:
-    """Undo a fault later; the undoing disturbs as well."""
+def undo_later(soak: Soak, seconds: float, action: Callable[[], None]) -> None:
+    """Call a function that ends a fault later; its end counts as a disturbance too."""
 
     def undo() -> None:
         soak.mark_disturbed()
-        run()
+        action()
 
     soak.clock.after(seconds, undo)
 
 
 def restore_store(soak: Soak, seconds: float) -> None:
-    """Have the store lose what is written to it in some seconds."""
-    copy = soak.store.backup()
+    """Back up the store, write to it, and restore the backup after some seconds."""
+    backup = soak.store.backup()
     soak.change_configuration()
     replace_target(soak)
-    undo_later(soak, seconds, lambda: restore_from_backup(soak, copy))
+    undo_later(soak, seconds, lambda: restore_from_backup(soak, backup))
 
 
-def restore_from_backup(soak: Soak, copy: StoreBackup) -> None:
-    """Have the store be away for a moment, and come back from a copy."""
+def restore_from_backup(soak: Soak, backup: StoreBackup) -> None:
+    """Make the store refuse calls for a moment, and then restore a backup."""
     soak.store.outage_status = 503
 
     def restore() -> None:
         end_store_outage(soak)
-        soak.store.restore(copy)
+        soak.store.restore(backup)
         undo_later(
             soak,
             soak.clock.rng.uniform(0.0, MAX_REWRITE_DELAY),
@@ -130,7 +130,7 @@
 
 
 def rewrite_lost_entries(soak: Soak) -> None:
-    """Have operators and targets write again what the store has lost."""
+    """Rewrite what the store has lost, as operators and targets do."""
     soak.write_configuration()
     for zone in ZONES:
         key = f"op/evacuate/{zone}"
@@ -146,42 +146,42 @@
 
 
 def drain_zone(soak: Soak, zone: str, seconds: float) -> None:
-    """Have operators drain a zone for some seconds, unless they do already."""
+    """Drain a zone for some seconds, unless it is drained already."""
     if zone in soak.drained_at:
         return
     soak.drained_at[zone] = soak.clock.now
     soak.store.put(f"op/evacuate/{zone}", {})
-    # Longer than the bound after which nothing may be sent there.
+    # Longer than the bound after which no new flows may be sent there.
     undo_later(soak, seconds + DRAIN_SECONDS, lambda: end_drain(soak, zone))
 
 
 def end_drain(soak: Soak, zone: str) -> None:
-    """Have operators use a zone again."""
+    """End the drain of a zone."""
     del soak.drained_at[zone]
     soak.store.delete(f"op/evacuate/{zone}")
 
 
 def end_store_outage(soak: Soak) -> None:
-    """Have the store serve again."""
+    """Let the store serve calls again."""
     soak.store.outage_status = None
 
 
 def end_loss(soak: Soak) -> None:
-    """Have no more packets lost."""
+    """End the loss of packets."""
     soak.loss = 0.0
 
 
 def restart(soak: Soak, host: HostProcess) -> None:
-    """Start a host that has ended."""
+    """Start a host that has ended; record a violation if it stopped with an error."""
     if host.alive:
         return
     if host.stopping and host.process is not None and host.process.returncode > 0:
-        soak.record_violation(f"{host.name} ended with {host.process.returncode}")
+        soak.record_violation(f"{host.name} exited with {host.process.returncode}")
     host.start()
 
 
 def active_targets(soak: Soak) -> list[EmulatedTarget]:
-    """Return the targets that are up and stay."""
+    """Return the targets that run and are not leaving."""
     return [
         target
         for target in soak.targets.values()
@@ -190,7 +190,7 @@
 
 
 def crash_target(soak: Soak, seconds: float) -> None:
-    """Crash a target; its entry goes after three heartbeats."""
+    """Crash a target; its entry is removed after three missed heartbeats."""
     candidates = active_targets(soak)
     if len(candidates) < 3:
         return
@@ -202,7 +202,7 @@
 
 
 def replace_target(soak: Soak) -> None:
-    """Replace a target by another, in order."""
+    """Start another target in the place of one that leaves."""
     target = soak.clock.rng.choice(active_targets(soak))
     soak.add_target(target.service, target.zone)
     target.leaving_at = soak.clock.now
@@ -211,6 +211,6 @@
 
 
 def end_target(soak: Soak, target: EmulatedTarget) -> None:
-    """End a target that was left."""
+    """Stop a target that has left."""
     target.crash()
     soak.store.delete(f"servers/{target.target_id}")
--- a/soak/hosts.py
+++ b/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Host processes: started, signalled and ended by their process ids."""
+"""Host processes, which are started, signalled and ended by their process ids."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-#: Seconds until a question to a host counts as unanswered.
+#: Time-out of a request for the state of a host, seconds.
 STATE_TIMEOUT = 0.25
 
-#: Bounds in the settings of every host, as the users' installations have them.
+#: Bounds in the settings of every host, the same as in the users' installations.
 BOUNDS = {"config_apply_ms": 3000, "stable_window_ms": 4000, "grace_s": 6}
 
 
 def loopback_net() -> str:
-    """Return the first three numbers of loopback addresses that only we use.
+    """Return the first three octets of loopback addresses that only this process uses.
 
-    Ports on shared addresses are taken by other connections between the moment they
-    are found free and the moment they are used.
+    On a shared address another connection can take a port after it was found free and
+    before it is used.
     """
     pid = os.getpid()
     return f"127.{16 + (pid >> 8) % 200}.{pid % 256}"
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class HostProcess:
-    """One host: its settings, its way to the store, and its process."""
+    """One host: its settings, its proxy to the store, and its process."""
 
     name: str
     zone: str
@@ -45,22 +45,22 @@
     proxy: Proxy
     seeds: list[str] = field(default_factory=list)
     process: subprocess.Popen[bytes] | None = None
-    #: Counts starts, to tell one process from the next.
+    #: Number of starts, which tells successive processes apart.
     start_count: int = 0
     paused: bool = False
-    #: The start at which it was asked for its state, and what it showed.
+    #: Start count when its state was last requested, and the answer.
     last_state: tuple[int, dict[str, Any] | None] = (0, None)
-    #: Set while its end was asked for.
+    #: The process has been told to end and has not been started again.
     stopping: bool = False
 
     @property
     def readiness_port(self) -> int:
-        """Return the port of readiness."""
+        """Return the port of the readiness endpoint."""
         return self.port + 1
 
     @property
     def peer_endpoint(self) -> str:
-        """Return the address where peers ask for copies."""
+        """Return the address where peers request snapshots."""
         return f"{self.ip}:{self.port + 2}"
 
     def start(self) -> None:
@@ -79,7 +79,7 @@
         self.paused = self.stopping = False
 
     def settings(self) -> dict[str, Any]:
-        """Return the settings as the platform writes them."""
+        """Return the settings in the platform's format."""
         return {
             "node_name": self.name,
             "zone": self.zone,
@@ -94,25 +94,25 @@
         }
 
     def signal(self, number: int) -> None:
-        """Send a signal to the process, if it lives."""
+        """Send a signal to the process, if it runs."""
         if self.alive:
             assert self.process is not None
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         if self.process is not None and self.alive:
             self.stopping = True
             self.process.kill()
             self.process.wait()
 
     def pause(self) -> None:
-        """Stop the process where it stands."""
+        """Suspend the process."""
         self.paused = True
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on."""
+        """Resume the process."""
         self.paused = False
         self.signal(signal.SIGCONT)
 
@@ -122,11 +122,11 @@
         return self.process is not None and self.process.poll() is None
 
     def state(self) -> dict[str, Any] | None:
-        """Return the state that the host shows, None if it does not answer."""
+        """Return the state that the host reports, None if it does not answer."""
         url = f"http://{self.ip}:{self.readiness_port}/state"
         try:
             with urllib.request.urlopen(url, timeout=STATE_TIMEOUT) as answer:
-                found: dict[str, Any] = json.loads(answer.read())
+                state: dict[str, Any] = json.loads(answer.read())
         except (OSError, ValueError):
             return None
-        return found
+        return state
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose connections can be delayed, silenced, cut or reset."""
+"""A loopback proxy that can delay, block or reset its connections."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 from contextlib import suppress
 from enum import Enum
 
-#: Bytes passed on at once, and seconds after which a pump looks at the mode again.
+#: Most bytes forwarded at once, and an interval of mode checks in seconds (not used).
 CHUNK = 65536
 MODE_CHECK_INTERVAL = 0.05
 
-#: Seconds that a delayed chunk waits.
+#: Delay of each chunk in mode `DELAY`, seconds.
 DELAY = 0.3
 
 
 class Mode(Enum):
-    """What befalls the connections of a proxy."""
+    """What a proxy does with its connections."""
 
     PASS = "pass"
     DELAY = "delay"
-    #: Nothing comes through; nothing is closed.
+    #: Forward nothing, and close nothing.
     SILENT = "silent"
-    #: Requests come through, answers do not.
+    #: Forward requests, but no answers.
     ONE_WAY = "one-way"
     RESET = "reset"
 
 
 class Proxy:
-    """Passes connections on to one port of loopback."""
+    """Forwards connections to one port on loopback."""
 
     def __init__(self, target_port: int) -> None:
         self.target_port = target_port
@@ -41,7 +41,7 @@
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self) -> None:
-        """Take connections until the listener is closed."""
+        """Accept connections until the listener is closed."""
         while True:
             try:
                 client, _ = self.listener.accept()
@@ -57,13 +57,13 @@
                 threading.Thread(target=self.pump, args=pump, daemon=True).start()
 
     def pump(self, source: socket.socket, sink: socket.socket, answers: bool) -> None:
-        """Pass bytes on in one direction, as the mode allows."""
+        """Forward bytes in one direction, as the mode allows."""
         try:
             while data := source.recv(CHUNK):
                 if self.mode is Mode.DELAY:
                     time.sleep(DELAY)
-                # What comes during a silence is held back, never lost: the
-                # connection stays silent for good once a byte of it is missing.
+                # Nothing may follow a chunk that was not forwarded, as the stream would
+                # have a gap; so this direction of the connection stays silent for good.
                 if self.mode is Mode.SILENT or (self.mode is Mode.ONE_WAY and answers):
                     return
                 sink.sendall(data)
@@ -74,7 +74,7 @@
                 close(sink)
 
     def set_mode(self, mode: Mode) -> None:
-        """Change the mode; a reset closes what is open."""
+        """Set the mode; `RESET` closes the open connections and returns to `PASS`."""
         self.mode = mode
         if mode is Mode.RESET:
             sockets, self.sockets = self.sockets, []
@@ -100,7 +100,7 @@
 
 def close(sock: socket.socket) -> None:
     """Close a socket that another thread may be reading."""
-    # It may never have been connected, or the other side has closed it already.
+    # The socket may never have been connected, or be closed by the other side.
     with suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
--- a/soak/run.py
+++ b/soak/run.py
@@ -34,27 +34,28 @@
 if TYPE_CHECKING:
     from citronspring.tokens.entities import Packet
 
-#: Port of callers' packets at every host and caller; the next two are the host's.
+#: Port of callers' packets on every host and at the callers. The next two ports of a
+#: host are those of its readiness and peer endpoints.
 PORT = 7700
 
-#: Seconds before traffic, of traffic, and at its end without a new fault.
+#: Seconds before traffic starts, and at its end without a new fault.
 STARTUP_SECONDS = 2.0
 FAULT_FREE_SECONDS = 7.0
 
-#: Seconds after a fault during which promises with a bound do not hold.
+#: Seconds after a fault during which guarantees with a time bound are not checked.
 SETTLING_SECONDS = 4.5
 
-#: Seconds between two looks at the hosts, and callers that start a second.
+#: Seconds between two checks of the hosts, and callers that start per second.
 CHECK_INTERVAL = 0.5
 CALLERS_PER_SECOND = 12.0
 
-#: Share of the last requests that must be served.
+#: Ratio of the last requests that must be served.
 MIN_SERVED_RATIO = 0.9
 
 
 @dataclass(slots=True)
 class Soak:
-    """The parts of a run; it plays the routers' part itself."""
+    """The parts of a run; it also acts as the routers."""
 
     clock: RealClock
     checker: Checker
@@ -74,15 +75,15 @@
     ready: set[str] = field(default_factory=set)
     loss: float = 0.0
     changed_at: float = 0.0
-    #: Faults that are drawn.
+    #: Kinds of faults from which the random faults are chosen.
     fault_kinds: tuple[str, ...] = FAULTS
-    #: Since when operators drain each zone.
+    #: Time at which the drain of each drained zone began.
     drained_at: dict[str, float] = field(default_factory=dict)
 
-    # What callers and targets send ---------------------------------------------------
+    # Packets of callers and targets --------------------------------------------------
 
     def forward(self, zone: str, packet: Packet, caller: EmulatedCaller) -> None:
-        """Send a caller's packet to a ready host; the routers' part."""
+        """Send a caller's packet to a ready host, as the routers do."""
         self.checker.callers[packet.flow] = caller
         if self.clock.rng.random() < self.loss:
             return
@@ -106,7 +107,7 @@
         self.sock.sendto(head + bytes(packet.length), (host.ip, host.port))
 
     def handle_reset(self, data: bytes, source: tuple[str, int]) -> None:
-        """Take a reset that a host sends to a caller."""
+        """Handle a reset that a host sends to a caller."""
         seq, _, _, _, caller_port, service_port = HEADER.unpack(data)[:6]
         for caller in self.open_callers():
             if caller.port & 0xFFFF == caller_port and caller.route & 0xFFFF == (
@@ -117,24 +118,24 @@
                 return
 
     def open_callers(self) -> list[EmulatedCaller]:
-        """Return the callers with a flow under way, newest first."""
+        """Return the callers with an open flow, newest first."""
         callers = reversed(self.checker.callers.values())
         return [caller for caller in callers if caller.state != "closed"]
 
     def check_reset(self, caller: EmulatedCaller, source: tuple[str, int]) -> None:
-        """Judge a reset by what its flow's target knows."""
+        """Check a reset against the state of the target that has the flow."""
         owner = self.checker.live_owner(caller.flow)
         if owner is None:
             return
         if not caller.idempotent:
-            self.record_violation(f"an order was reset by {source[0]}")
+            self.record_violation(f"a non-idempotent flow was reset by {source[0]}")
         elif self.is_settled:
             self.record_violation(
                 f"a flow of {owner.target_id} was reset by {source[0]}"
             )
 
     def handle_packet(self, target: EmulatedTarget, data: bytes) -> None:
-        """Take a datagram at a target's address."""
+        """Handle a datagram at a target's address."""
         packet = decode_packet(data[INCARNATION.size :])
         (incarnation,) = INCARNATION.unpack_from(data)
         if packet.flags & SYN:
@@ -146,17 +147,17 @@
                 return
 
     def check_opening(self, target: EmulatedTarget) -> None:
-        """Judge an opening by whether its target's zone is drained."""
+        """Check that an opening goes to no zone that has been drained for some time."""
         drained_at = self.drained_at.get(target.zone, self.clock.now)
         if self.is_settled and self.clock.now - drained_at > SETTLING_SECONDS:
             self.record_violation(
-                f"{target.target_id} of a drained zone got an opening"
+                f"{target.target_id} in a drained zone received an opening"
             )
 
-    # Parts ---------------------------------------------------------------------------
+    # Targets, configuration and callers ----------------------------------------------
 
     def add_target(self, service: str, zone: str) -> None:
-        """Start a target on a socket of its own."""
+        """Start a target with its own socket."""
         incarnation = (len(self.targets) + 1) * 0x1001
         network = self.checker.network
         target = EmulatedTarget(
@@ -173,7 +174,7 @@
         self.register(target)
 
     def register(self, target: EmulatedTarget) -> None:
-        """Write a target's entry."""
+        """Write the entry of a target to the store."""
         key = f"servers/{target.target_id}"
         target.entry_sequence += 1
         entry = {
@@ -189,13 +190,13 @@
         self.store.put(key, entry)
 
     def change_configuration(self) -> None:
-        """Have the operators write the next configuration."""
+        """Write the next configuration, as operators do."""
         self.revision += 2
         self.changed_at = self.clock.now
         self.write_configuration()
 
     def write_configuration(self) -> None:
-        """Write the operators' newest configuration, which may be there already."""
+        """Write the newest configuration, whether or not the store has it."""
         routes = [
             {
                 "name": f"r-{key & 0xFFFF}",
@@ -213,7 +214,7 @@
         self.store.put("op/config", body)
 
     def start_callers(self, end: float) -> None:
-        """Have callers start until traffic ends."""
+        """Start a caller, and schedule the next one until traffic ends."""
         if self.clock.now >= end:
             return
         route = self.clock.rng.choice((STREAMS, ORDERS))
@@ -234,26 +235,26 @@
         self.clock.after(pause, lambda: self.start_callers(end))
 
     def mark_disturbed(self) -> None:
-        """Note that promises with a bound do not hold for a while."""
+        """Do not check guarantees with a time bound for a while."""
         self.disturbed_at = self.clock.now
 
-    # Judging -------------------------------------------------------------------------
+    # Checks --------------------------------------------------------------------------
 
     @property
     def is_settled(self) -> bool:
-        """Whether the last fault, or the end of one, is long enough ago."""
+        """Whether the last start or end of a fault is long enough ago."""
         return self.clock.now - self.disturbed_at >= SETTLING_SECONDS
 
     def record_violation(self, text: str) -> None:
-        """Note a broken promise."""
+        """Record a violated guarantee."""
         self.violations.append(f"{self.clock.now:.2f} s {text}")
 
     def check_hosts(self) -> None:
-        """Ask every host for its state and judge it."""
+        """Check the last known state of every host, and restart those that ended."""
         self.ready = set()
         for host in self.hosts:
             if not host.alive and not host.stopping:
-                self.record_violation(f"{host.name} ended by itself")
+                self.record_violation(f"{host.name} ended unexpectedly")
                 host.start()
             boot, state = host.last_state
             if state is not None and boot == host.start_count:
@@ -261,24 +262,26 @@
         self.clock.after(CHECK_INTERVAL, self.check_hosts)
 
     def check_state(self, host: HostProcess, state: dict) -> None:
-        """Judge what a host has in force."""
+        """Check the configuration that is in effect on a host."""
         revision = state["configuration"]
         if revision and not state["leaving"]:
             self.ready.add(host.name)
         key = (host.name, host.start_count)
         if revision < self.highest_revisions.get(key, 0):
-            self.record_violation(f"{host.name} fell to revision {revision}")
+            self.record_violation(f"{host.name} went back to revision {revision}")
         self.highest_revisions[key] = max(revision, self.highest_revisions.get(key, 0))
         late = self.clock.now - self.changed_at > SETTLING_SECONDS
         if self.is_settled and late and revision < self.revision and not host.stopping:
             self.record_violation(f"{host.name} is behind at revision {revision}")
 
     def check_last_requests(self, end: float) -> None:
-        """Judge whether the last callers were served."""
+        """Check that enough of the last requests were served."""
         last = [
-            one for one in self.checker.requests if end - 2.0 <= one.started_at < end
+            request
+            for request in self.checker.requests
+            if end - 2.0 <= request.started_at < end
         ]
-        served = sum(one.answered_at is not None for one in last)
+        served = sum(request.answered_at is not None for request in last)
         if served < MIN_SERVED_RATIO * len(last):
             self.record_violation(
                 f"{served} of the last {len(last)} requests were served"
@@ -286,11 +289,11 @@
 
 
 class StatePoller:
-    """Asks hosts for their state beside the run.
+    """Polls the state of hosts in a thread of its own.
 
-    A host that is paused takes a while not to answer. Asked in the run's own loop, all
-    callers and targets would stand still with it, answer openings late, and callers
-    would seem to hop between targets.
+    A request to a paused host blocks until its time-out. In the run's own event loop it
+    would stall all callers and targets: they would answer openings late, and callers
+    would seem to change targets.
     """
 
     def __init__(self, hosts: list[HostProcess]) -> None:
@@ -300,20 +303,20 @@
         self.thread.start()
 
     def watch(self) -> None:
-        """Ask each host again and again."""
+        """Poll each host until stopped."""
         while not self.stopped.wait(CHECK_INTERVAL / 2):
             for host in self.hosts:
                 boot = host.start_count
                 host.last_state = boot, host.state()
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop polling."""
         self.stopped.set()
         self.thread.join()
 
 
 def same_flow(packet: Packet, caller: EmulatedCaller) -> bool:
-    """Whether a packet belongs to a caller's present flow."""
+    """Whether a packet belongs to a caller's current flow."""
     dport, sport = struct.unpack_from(">HH", packet.flow)
     return caller.port & 0xFFFF == sport and caller.route & 0xFFFF == dport
 
@@ -321,7 +324,7 @@
 def run_seed(
     seed: int, seconds: float = 20.0, fault_kinds: tuple[str, ...] = FAULTS
 ) -> Soak:
-    """Run one seed with three host processes; returns what it showed."""
+    """Run one seed with three host processes, and return the finished run."""
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         store = StoreStandIn()
@@ -344,7 +347,7 @@
 
 
 def run_scenario(soak: Soak, seconds: float, stack: ExitStack) -> None:
-    """Start everything, let faults befall it, and judge the end."""
+    """Start everything, inject faults, and check the last requests."""
     soak.change_configuration()
     for zone in ZONES:
         soak.add_target("desk", zone)
--- a/soak/store.py
+++ b/soak/store.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the platform's store over HTTP, on real sockets."""
+"""A small stand-in for the platform's store over HTTP, on real sockets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from time import monotonic, sleep
 from urllib.parse import parse_qs, urlsplit
 
-#: Seconds between the pieces of an answer that goes out slowly.
+#: Seconds between the chunks of an answer that is sent at a limited rate.
 CHUNK_SECONDS = 0.05
 
 OK, NOT_FOUND, GONE, CONDITION_FAILED = 200, 404, 410, 412
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class StoreBackup:
-    """What the store held at one moment."""
+    """The contents of the store at one moment."""
 
     revision: int
     items: dict
@@ -29,23 +29,23 @@
 
 
 class StoreStandIn:
-    """Entries with revisions; answers ranges and watches, or refuses everything."""
+    """Entries with revisions; serves reads, watches and writes, or refuses calls."""
 
     def __init__(self):
         self.changed = threading.Condition()
         self.revision = 1
-        #: How often the store has come back from an older copy.
+        #: Incremented by each restore from a backup.
         self.epoch = 1
         self.items = {}
-        #: Values as they were written, by key.
+        #: Values before their encoding, by key.
         self.values = {}
         self.events = []
-        #: HTTP status that every call gets; None to serve.
+        #: HTTP status with which every call is refused; None to serve calls.
         self.outage_status = None
-        #: Bytes a second at which an answer goes out; None for all at once.
+        #: Rate at which an answer is sent, bytes per second; None for no limit.
         self.rate = None
         self.calls = []
-        #: Running leases: the time at which each ends.
+        #: Time to live of each lease in seconds, and the time at which it expires.
         self.leases = {}
         self.last_lease = 0
 
@@ -56,7 +56,7 @@
             self.write(key, b64encode(json.dumps(value).encode()).decode(), 0)
 
     def write(self, key, encoded, lease):
-        """Write an entry under a lease; the lock is held."""
+        """Write an entry under a lease; `changed` has to be locked."""
         self.revision += 1
         item = {"key": key, "value": encoded, "revision": self.revision, "lease": lease}
         self.items[key] = item
@@ -74,7 +74,7 @@
             self.changed.notify_all()
 
     def backup(self):
-        """Return a copy of everything, to come back from."""
+        """Return a backup of everything for `restore`."""
         with self.changed:
             return StoreBackup(
                 self.revision,
@@ -84,28 +84,28 @@
                 dict(self.leases),
             )
 
-    def restore(self, copy):
-        """Come back from an older copy; its next revision is given out again.
+    def restore(self, backup):
+        """Restore a backup; the revisions that follow it are reused.
 
-        What was written since is gone, but for what operators and targets wrote, which
-        whoever runs the store has to write again.
+        Everything written since the backup is lost. What operators and targets wrote,
+        the user of this class has to rewrite.
         """
         with self.changed:
             self.epoch += 1
-            self.revision = copy.revision
-            self.items = dict(copy.items)
-            self.values = dict(copy.values)
-            self.events = list(copy.events)
-            self.leases = dict(copy.leases)
+            self.revision = backup.revision
+            self.items = dict(backup.items)
+            self.values = dict(backup.values)
+            self.events = list(backup.events)
+            self.leases = dict(backup.leases)
             self.changed.notify_all()
 
     @property
     def headers(self):
-        """Return the headers that stand in all answers."""
+        """Return the headers of every answer."""
         return {"Store-Era": str(self.epoch)}
 
     def handle_read(self, url):
-        """Return status and body of a read."""
+        """Return the status and body of a read or watch."""
         self.expire_leases()
         parts = urlsplit(url)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
@@ -122,7 +122,7 @@
         return OK, self.watch(after, wait)
 
     def handle_change(self, url, body):
-        """Return status and body of a call that changes something."""
+        """Return the status and body of a call that writes or changes a lease."""
         self.expire_leases()
         path, _, number = url.rpartition("/")
         self.calls.append(url if url.count("/") == 2 else path)
@@ -142,18 +142,18 @@
             return OK, {"ttl_ms": ttl * 1000}
 
     def grant(self, ttl_ms):
-        """Start a lease."""
+        """Grant a lease."""
         self.last_lease += 1
         ttl = ttl_ms / 1000
         self.leases[self.last_lease] = ttl, monotonic() + ttl
         return OK, {"lease": self.last_lease, "ttl_ms": ttl_ms}
 
     def commit(self, body):
-        """Do all writes if every condition holds, else nothing."""
-        for row in body["expected"]:
-            found = self.items.get(row["key"], {"revision": 0})
-            if found["revision"] != row["revision"]:
-                return CONDITION_FAILED, {"items": [found]}
+        """Apply all writes if every condition holds, and none otherwise."""
+        for condition in body["expected"]:
+            item = self.items.get(condition["key"], {"revision": 0})
+            if item["revision"] != condition["revision"]:
+                return CONDITION_FAILED, {"items": [item]}
         if any(write["lease"] not in self.leases for write in body["writes"]):
             return NOT_FOUND, {}
         for write in body["writes"]:
@@ -161,15 +161,15 @@
         return OK, {"revision": self.revision}
 
     def expire_leases(self):
-        """End the leases whose time is up, with what was written under them."""
-        ended = [one for one, (_, end) in self.leases.items() if end <= monotonic()]
-        for lease in ended:
+        """Remove expired leases, and the entries written under them."""
+        expired = [one for one, (_, end) in self.leases.items() if end <= monotonic()]
+        for lease in expired:
             self.leases.pop(lease, None)
             for key in [k for k, item in self.items.items() if item["lease"] == lease]:
                 self.delete(key)
 
     def watch(self, after, wait):
-        """Wait for events above a revision."""
+        """Wait for events above a revision, and return the body with them."""
         with self.changed:
             epoch = self.epoch
             self.changed.wait_for(
@@ -180,7 +180,7 @@
 
 
 def body_chunks(body, rate):
-    """Yield a body piece by piece, at a rate in bytes a second."""
+    """Yield a body in chunks, at a rate in bytes per second."""
     if rate is None:
         yield body
         return
@@ -192,7 +192,7 @@
 
 @contextmanager
 def serve(store):
-    """Serve a stand-in on loopback; yields its port."""
+    """Serve a stand-in on loopback; yield its port."""
 
     class Handler(BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
@@ -208,8 +208,8 @@
         def do_DELETE(self):
             self.reply(*store.handle_change(self.path, {}))
 
-        def reply(self, status, found):
-            body = json.dumps(found).encode()
+        def reply(self, status, content):
+            body = json.dumps(content).encode()
             self.send_response(status)
             self.send_header("Content-Length", str(len(body)))
             for name, value in store.headers.items():
@@ -223,7 +223,7 @@
 
     class Server(ThreadingHTTPServer):
         def handle_error(self, request, client_address):
-            # A host gave the call up, or was killed: nothing is wrong here.
+            # A host has abandoned the call, or was killed; neither is an error here.
             pass
 
     server = Server(("127.0.0.1", 0), Handler)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,33 +8,33 @@
 from soak.faults import FAULTS, RESTORE_FAULTS
 from soak.run import run_seed
 
-#: Seeds that once broke a promise. All showed the same: after a pause of a host,
-#: packets of a flow strayed. Interrupted by the end of the pause, the wait for events
-#: told of none; that counted as all having been read, and openings that had waited
-#: were placed a second time. The run's own loop had stood still besides, while it
-#: asked the paused host for its state.
-KEPT_SEEDS = (1, 3, 6, 7, 8, 12, 17, 18, 19, 28)
-
-#: Seeds at once, four processes each.
+#: Seeds that once violated a guarantee, all in the same way: after a pause of a host,
+#: packets of a flow reached another target. The end of the pause interrupted the wait
+#: for socket events, which then reported none. The host took this to mean that all
+#: packets had been read, and placed queued openings a second time. The run's own event
+#: loop had also stalled while it requested the state of the paused host.
+REGRESSION_SEEDS = (1, 3, 6, 7, 8, 12, 17, 18, 19, 28)
+
+#: Seeds run in parallel, four processes each.
 JOBS = 3
 
 SECONDS = 16.0
 
 
-#: Seeds in which the store comes back from older copies.
+#: Seeds in which the store is restored from backups.
 RESTORE_SEEDS = (0, 1, 4, 8)
 
 
 def verdict(seed, kinds=FAULTS):
-    """Run a seed; return what was broken, the faults, and how much was tried."""
+    """Run a seed; return its violations, its faults and its number of requests."""
     soak = run_seed(seed, SECONDS, kinds)
     return soak.violations, soak.faults, len(soak.checker.requests)
 
 
 def test_guarantees_hold_for_real_processes():
     with ProcessPoolExecutor(JOBS) as pool:
-        for broken, faults, requests in pool.map(verdict, (0, *KEPT_SEEDS)):
-            assert broken == [], faults
+        for violations, faults, requests in pool.map(verdict, (0, *REGRESSION_SEEDS)):
+            assert violations == [], faults
             assert faults
             assert requests > 100
 
@@ -42,6 +42,6 @@
 def test_guarantees_hold_after_restores_of_the_store():
     with ProcessPoolExecutor(JOBS) as pool:
         runs = pool.map(verdict, RESTORE_SEEDS, repeat(RESTORE_FAULTS))
-        for broken, faults, requests in runs:
-            assert broken == [], faults
+        for violations, faults, requests in runs:
+            assert violations == [], faults
             assert requests > 100
