--- a/soak/run.py
+++ b/soak/run.py
@@ -256,8 +256,8 @@
             if not host.alive and not host.stopping:
                 self.record_violation(f"{host.name} ended unexpectedly")
                 host.start()
-            boot, state = host.last_state
-            if state is not None and boot == host.start_count:
+            start_count, state = host.last_state
+            if state is not None and start_count == host.start_count:
                 self.check_state(host, state)
         self.clock.after(CHECK_INTERVAL, self.check_hosts)
 
@@ -306,8 +306,8 @@
         """Poll each host until stopped."""
         while not self.stopped.wait(CHECK_INTERVAL / 2):
             for host in self.hosts:
-                boot = host.start_count
-                host.last_state = boot, host.state()
+                start_count = host.start_count
+                host.last_state = start_count, host.state()
 
     def stop(self) -> None:
         """Stop polling."""
