--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the benchmarks: prints a table, writes JSON, fails if a bound is not held."""
+"""Command line of the benchmarks: prints a table and optionally writes JSON."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from benchmarks.runner import find_modules, run_modules
 
 FLAGS = flags.FLAGS
-JSON_PATH = flags.DEFINE_string("json", None, "File to write the figures to.")
-ONLY = flags.DEFINE_multi_string("only", [], "Module to run; all unless given.")
+JSON_PATH = flags.DEFINE_string("json", None, "File to write the figures to, as JSON.")
+ONLY = flags.DEFINE_multi_string("only", [], "Module to run; all by default.")
 
 COLUMNS = ("name", "value", "unit", "baseline", "bound", "held", "seed")
 
 
 def format_table(rows: list[dict[str, object]]) -> str:
-    """Return the rows as aligned text."""
+    """Return the result rows as a text table with aligned columns."""
     cells = [COLUMNS]
     cells += [tuple(format_cell(row.get(name)) for name in COLUMNS) for row in rows]
     widths = [max(len(line[index]) for line in cells) for index in range(len(COLUMNS))]
@@ -30,7 +30,7 @@
 
 
 def format_cell(value: object) -> str:
-    """Return one value as short text."""
+    """Return the text of one table cell."""
     if value is None:
         return "-"
     if isinstance(value, bool):
@@ -41,7 +41,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run what was asked for; return 1 if a bound is not held."""
+    """Run the selected modules; return 1 if a figure is outside its bound."""
     del argv
     rows = run_modules(ONLY.value or find_modules())
     print(format_table(rows))
--- a/benchmarks/pool.py
+++ b/benchmarks/pool.py
@@ -1,4 +1,4 @@
-"""Independent runs in a few processes."""
+"""Process pool for independent benchmark runs."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-#: Processes of one pool; at most two pools run at a time.
+#: Worker processes of one pool. At most two pools run at a time.
 MAX_WORKERS = 3
 
-#: A fork of a process with threads may inherit a lock that is never released.
+#: Start method ``spawn``: a fork of a process with threads may inherit a held lock
+#: that is never released.
 CONTEXT = get_context("spawn")
 
 Job = TypeVar("Job")
@@ -20,6 +21,6 @@
 
 
 def run_jobs(function: Callable[[Job], Answer], jobs: Iterable[Job]) -> list[Answer]:
-    """Return the function's answer for each job, in order."""
+    """Return the result of the function for each job, in the order of the jobs."""
     with ProcessPoolExecutor(MAX_WORKERS, CONTEXT) as pool:
         return list(pool.map(function, jobs))
--- a/benchmarks/result.py
+++ b/benchmarks/result.py
@@ -1,4 +1,4 @@
-"""One measured figure, beside its baseline and its bound."""
+"""One measured figure with its baseline and its bound."""
 
 from __future__ import annotations
 
@@ -7,18 +7,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """A row of the benchmark report."""
+    """One row of the benchmark report; the field names are keys of the JSON output."""
 
     name: str
     value: float
     unit: str
-    #: The same measure of the simplest alternative in the same run, if any.
+    #: The same figure for the simplest alternative, measured in the same run, if any.
     baseline: float | None = None
-    #: Greatest or, for a throughput, least acceptable value; None for no bound.
+    #: Largest acceptable value, or smallest for `at_least`; None if there is no bound.
     bound: float | None = None
+    #: Whether the value is within its bound.
     held: bool = True
+    #: Seed of the random numbers, if the figure depends on one.
     seed: int | None = None
-    #: Runs this figure again.
+    #: Shell command that measures this figure again.
     command: str = ""
 
     @classmethod
@@ -54,5 +56,5 @@
         return cls(name, value, unit, baseline, bound, held, seed, command)
 
     def to_dict(self) -> dict[str, object]:
-        """Return the row as plain values."""
+        """Return the fields of the row by name."""
         return asdict(self)
