--- a/benchmarks/balance.py
+++ b/benchmarks/balance.py
@@ -1,4 +1,4 @@
-"""Imbalance of live connections over targets in steady load, without changes."""
+"""Imbalance of open connections over targets under steady load, without changes."""
 
 from __future__ import annotations
 
@@ -20,26 +20,28 @@
 
 COMMAND = "python -m benchmarks --only balance"
 
+#: Seeds of the random numbers, one run each.
 SEEDS = range(3)
 
-#: Live connections a target, on the average.
+#: Mean number of open connections of a target.
 FLOWS_PER_TARGET = 100
 
-#: Flows replaced, as a multiple of the live ones.
+#: Number of flows replaced, as a multiple of the open ones.
 TURNOVER = 3
 
-#: Samples of the imbalance while flows are replaced.
+#: Number of imbalance samples taken while flows are replaced.
 SAMPLES = 50
 
+#: New flows per second of virtual time.
 NEW_PER_SECOND = 1000.0
 
-#: Greatest mean imbalance at today's sizes.
+#: Upper bound of the mean imbalance at `CURRENT_SIZES`.
 BOUND = 1.05
 
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """How many hosts and targets share the load."""
+    """Numbers of hosts and targets that share the load."""
 
     hosts: int
     targets: int
@@ -48,24 +50,26 @@
         return f"{self.hosts}x{self.targets}"
 
 
+#: Present size of the system, and a size after growth.
 CURRENT_SIZES = Sizes(6, 7)
 LARGE_SIZES = Sizes(30, 200)
 
 
 @dataclass(slots=True)
 class SteadyLoad:
-    """Cores under a constant number of live flows."""
+    """Cores with a constant number of open flows."""
 
     sizes: Sizes
     rng: random.Random
     cores: dict[str, Balancer] = field(default_factory=dict)
-    #: Live flows, with target and the first-ranked target.
+    #: Open flows: flow, target it is placed on, target that the hash ranks first.
     live_flows: list[tuple[FlowKey, str, str]] = field(default_factory=list)
+    #: Number of the last opened flow; starts at a random number.
     opened: int = 0
 
     @classmethod
     def from_seed(cls, sizes: Sizes, seed: int) -> SteadyLoad:
-        """Make the cores of a run."""
+        """Return a load with configured cores and no flows."""
         load = cls(sizes, random.Random(f"balance {seed}"))
         hosts = [make_host(index) for index in range(sizes.hosts)]
         for host in hosts:
@@ -78,16 +82,16 @@
 
     @property
     def now(self) -> float:
-        """The time at which the next flow opens."""
+        """Virtual time in seconds, from the number of opened flows."""
         return self.opened / NEW_PER_SECOND
 
     def owner_of(self, flow: FlowKey) -> Balancer:
-        """Return the core that decides on a flow."""
-        some = next(iter(self.cores.values()))
-        return self.cores[str(some.tables.owners.owner_and_backup(flow)[0])]
+        """Return the core of the host that owns a flow."""
+        any_core = next(iter(self.cores.values()))
+        return self.cores[str(any_core.tables.owners.owner_and_backup(flow)[0])]
 
     def open_one(self) -> None:
-        """Open one more flow."""
+        """Open the next flow on its owner."""
         self.opened += 1
         flow = numbered_flow(self.opened)
         core = self.owner_of(flow)
@@ -96,7 +100,7 @@
         self.live_flows.append((flow, open_flow(core, flow, self.now), hashed))
 
     def close_one(self) -> None:
-        """Close one of the live flows."""
+        """Close a random open flow."""
         index = self.rng.randrange(len(self.live_flows))
         self.live_flows[index], self.live_flows[-1] = (
             self.live_flows[-1],
@@ -106,53 +110,54 @@
         close_flow(self.owner_of(flow), flow, target_id, self.now)
 
     def run(self) -> tuple[float, float]:
-        """Return the mean imbalance of placement, and of the hash alone."""
+        """Return the mean imbalance of the balancer, and of placement by hash alone."""
         count = FLOWS_PER_TARGET * self.sizes.targets
         for _ in range(count):
             self.open_one()
-        ours: list[float] = []
+        placed: list[float] = []
         hashed: list[float] = []
         for step in range(TURNOVER * count):
             self.open_one()
             self.close_one()
             if step % (TURNOVER * count // SAMPLES) == 0:
-                self.sample(ours, hashed)
-        return sum(ours) / len(ours), sum(hashed) / len(hashed)
+                self.sample(placed, hashed)
+        return sum(placed) / len(placed), sum(hashed) / len(hashed)
 
-    def sample(self, ours: list[float], hashed: list[float]) -> None:
-        """Note the imbalance of now, and let the cores forget closed flows.
+    def sample(self, placed: list[float], hashed: list[float]) -> None:
+        """Record the current imbalance, and expire closed flows on all cores.
 
-        A tick would also run membership, which finds nobody here.
+        A whole tick of a core would also run membership, which gets no response from
+        peers here.
         """
         mean = len(self.live_flows) / self.sizes.targets
-        ours.append(max(Counter(item[1] for item in self.live_flows).values()) / mean)
+        placed.append(max(Counter(item[1] for item in self.live_flows).values()) / mean)
         hashed.append(max(Counter(item[2] for item in self.live_flows).values()) / mean)
         for core in self.cores.values():
             expire_flows(core.tables, self.now)
 
 
 def measure(job: tuple[Sizes, int]) -> tuple[float, float]:
-    """Return the imbalance of one size and seed."""
+    """Return the imbalance at one size with one seed, see `SteadyLoad.run`."""
     return SteadyLoad.from_seed(*job).run()
 
 
 def run() -> list[Result]:
-    """Measure today's and grown sizes."""
+    """Measure at both sizes; return the means over all seeds."""
     jobs = [(sizes, seed) for sizes in (CURRENT_SIZES, LARGE_SIZES) for seed in SEEDS]
     figures = dict(zip(jobs, run_jobs(measure, jobs), strict=True))
     rows = []
     for sizes in (CURRENT_SIZES, LARGE_SIZES):
-        ours = sum(figures[sizes, seed][0] for seed in SEEDS) / len(SEEDS)
+        placed = sum(figures[sizes, seed][0] for seed in SEEDS) / len(SEEDS)
         hashed = sum(figures[sizes, seed][1] for seed in SEEDS) / len(SEEDS)
-        rows.append(make_row(sizes, round(ours, 4), round(hashed, 4)))
+        rows.append(make_row(sizes, round(placed, 4), round(hashed, 4)))
     return rows
 
 
-def make_row(sizes: Sizes, ours: float, hashed: float) -> Result:
-    """Return the row of one size; only today's has a bound."""
+def make_row(sizes: Sizes, placed: float, hashed: float) -> Result:
+    """Return the result row of one size; only `CURRENT_SIZES` has a bound."""
     name = f"balance.imbalance_{sizes}"
     if sizes is not CURRENT_SIZES:
-        return Result(name, ours, "max/mean", hashed, command=COMMAND)
+        return Result(name, placed, "max/mean", hashed, command=COMMAND)
     return Result.at_most(
-        name, ours, "max/mean", BOUND, baseline=hashed, command=COMMAND
+        name, placed, "max/mean", BOUND, baseline=hashed, command=COMMAND
     )
--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -1,4 +1,4 @@
-"""Simpler cores to compare with: hash only, and a flow table without second chance."""
+"""Baseline cores: hash only, and a flow table without a flow search."""
 
 from __future__ import annotations
 
@@ -31,19 +31,20 @@
     from citronspring.messages import Action, Event, Packet
     from citronspring.tables import TargetRow
 
-#: Seconds without a packet after which a leaving host stops.
+#: Time without a packet after which a leaving host stops, seconds.
 IDLE_STOP_DELAY = 2.0
 
+#: Flow limit passed to the tables.
 MAX_FLOWS = 1_000_000
 
 
 class HashOnly:
-    """Every host sends a flow to its highest-ranked active target.
+    """Core that sends each packet to the highest-ranked active target of its flow.
 
     Parameters
     ----------
     tables : Tables
-        Membership and configuration; flows are kept nowhere.
+        Membership and configuration. No state is kept per flow.
     """
 
     def __init__(self, tables: Tables) -> None:
@@ -51,7 +52,7 @@
 
     @classmethod
     def from_config(cls, host: Host, peers: Iterable[Host] = ()) -> HashOnly:
-        """Make the core of a host that knows some peers."""
+        """Return the core of a host with a list of known peers."""
         tables = Tables(host.host_id, host.zone, host.group, MAX_FLOWS)
         for member in (host, *peers):
             tables.hosts[member.host_id] = HostRow(member)
@@ -59,7 +60,7 @@
         return cls(tables)
 
     def receive(self, event: Event, now: float) -> list[Action]:
-        """Handle one event."""
+        """Process one event; return the resulting actions."""
         tables = self.tables
         match event:
             case SnapshotRead():
@@ -80,7 +81,7 @@
         return self.forward(packet, source)
 
     def forward(self, packet: Packet, source: str | None) -> list[Action]:
-        """Pass an answer on, and a caller's packet to the first active target."""
+        """Forward a packet to the caller, or to the highest-ranked active target."""
         if not packet.from_caller:
             return [SendToCaller(packet)]
         target = self.highest_ranked_target(packet.flow)
@@ -89,18 +90,18 @@
         return [SendToTarget(target.target.target_id, packet)]
 
     def active_targets(self, flow: FlowKey) -> list[TargetRow]:
-        """Return the targets that take new flows of a flow's client account."""
+        """Return the targets of the client account that take new flows."""
         account = self.tables.services.get(service_key_of(flow))
         rows = [] if account is None else account.targets
         return [row for row in rows if row.target.leaving_revision is None]
 
     def highest_ranked_target(self, flow: FlowKey) -> TargetRow | None:
-        """Return the highest-ranked active target."""
+        """Return the active target with the highest rank, or None if there is none."""
         rows = self.active_targets(flow)
         return max(rows, key=lambda row: score(flow, row.seed), default=None)
 
     def tick(self, now: float) -> list[Action]:
-        """Follow the membership view; stop when leaving and quiet."""
+        """Update the owners; stop a leaving host when it is idle or at its deadline."""
         tables = self.tables
         update_owners(tables, now)
         if tables.leave_deadline is None:
@@ -110,7 +111,7 @@
 
 
 class TableOnly(HashOnly):
-    """The owner of a flow keeps it in a table; an unknown flow is hashed.
+    """Core that keeps the flows it owns in a table and places unknown flows by hash.
 
     Parameters
     ----------
@@ -123,7 +124,7 @@
         self.flows: dict[FlowKey, TargetRow] = {}
 
     def route(self, packet: Packet, source: str | None) -> list[Action]:
-        """Relay a packet to the owner of its flow."""
+        """Relay a packet of a caller to the owner of its flow."""
         if not packet.from_caller:
             return [SendToCaller(packet)]
         owner = self.tables.owners.owner_and_backup(packet.flow)[0]
@@ -132,7 +133,7 @@
         return [Relay(RelayKind.TO_OWNER, owner, packet.flow, packet, source)]
 
     def forward(self, packet: Packet, source: str | None) -> list[Action]:
-        """Send a caller's packet to the target in the table."""
+        """Forward a packet to its target in the table; place an unknown flow."""
         target = self.flows.get(packet.flow)
         if target is None:
             target = self.place(packet)
@@ -143,7 +144,7 @@
         return [SendToTarget(target.target.target_id, packet)]
 
     def place(self, packet: Packet) -> TargetRow | None:
-        """Bind a new flow to the least loaded target, an unknown one by its hash."""
+        """Place a new flow on the target with fewest flows, an unknown one by hash."""
         rows = self.active_targets(packet.flow)
         if not rows:
             return None
@@ -156,6 +157,6 @@
         return target
 
     def release(self, flow: FlowKey) -> None:
-        """Stop counting a flow that ends; its row stays for the last packets."""
+        """Stop counting a flow that ends; keep its entry for the last packets."""
         target = self.flows[flow]
         target.flows = max(0, target.flows - 1)
--- a/benchmarks/churn.py
+++ b/benchmarks/churn.py
@@ -1,4 +1,4 @@
-"""Broken flows while hosts and targets come and go and views differ."""
+"""Broken flows while hosts and targets start and stop and host states differ."""
 
 from __future__ import annotations
 
@@ -21,32 +21,36 @@
 
 COMMAND = "python -m benchmarks --only churn"
 
+#: Seeds of the random numbers, one run each.
 SEEDS = range(10)
 HOSTS = 6
 TARGETS = 7
 
-#: Virtual seconds in which requests start and things change.
+#: Virtual seconds in which requests start and changes happen.
 DURATION = 120.0
-#: Virtual seconds after that, in which every request ends.
+#: Virtual seconds after that without new requests or changes; every request ends in it.
 SETTLING_TIME = 120.0
+#: Virtual seconds between two changes.
 CHANGE_INTERVAL = 6.0
 REQUESTS_PER_SECOND = 58.5
-#: Bytes a second of a body, two segments.
+#: Transfer rate of a request body, bytes per second (two segments).
 BODY_RATE = 1024.0
 
-#: Shares of requests, and the mean seconds that they last.
+#: Mix of request durations: fraction of the requests, and their mean duration in
+#: seconds. Durations are cut at `MAX_REQUEST_TIME` seconds.
 DURATION_MIX = ((0.70, 1.5), (0.25, 10.0), (0.05, 45.0))
 MAX_REQUEST_TIME = 90.0
 
-#: Seconds after which a leaving target must get no new work.
+#: Seconds after which a leaving target must not get new flows.
 LEAVING_GRACE = 4.0
 
+#: Limits within which the changes keep the numbers of hosts and targets.
 MIN_HOSTS, MAX_HOSTS = 4, 9
 MIN_TARGETS, MAX_TARGETS = 4, 10
 
 
 class Variant(Enum):
-    """The core that is measured."""
+    """Kind of core that is measured."""
 
     BALANCER = "balancer"
     HASH_ONLY = "hash-only"
@@ -62,25 +66,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ChurnFigures:
-    """What one run gave."""
+    """Figures of one run."""
 
     requests: int
+    #: Requests by outcome; None for requests that did not end.
     outcomes: Counter[Outcome | None]
     #: Corrections that ran more than once.
     run_twice: int
+    #: Openings that leaving targets accepted later than `LEAVING_GRACE`.
     late_work: int
+    #: Counters summed over all cores.
     counters: Counter[str]
+    #: Changes made, by name of the method.
     changes: Counter[str] = field(default_factory=Counter)
 
     @property
     def broken(self) -> int:
-        """Requests that broke or never ended."""
+        """Number of requests that broke or never ended."""
         return self.outcomes[Outcome.BROKEN] + self.outcomes[None]
 
 
 @dataclass(slots=True)
 class ChurnRun:
-    """One world with its requests and changes."""
+    """One run: a world with generators of requests and changes."""
 
     world: World
     rng: random.Random
@@ -92,12 +100,12 @@
     def from_seed(
         cls, variant: Variant, seed: int, duration: float = DURATION
     ) -> ChurnRun:
-        """Make a run of a variant."""
+        """Return a run of a variant that has not started yet."""
         world = World.from_sizes(CORE_FACTORIES[variant], seed, HOSTS, TARGETS)
         return cls(world, random.Random(f"requests {seed}"), duration)
 
     def run(self) -> ChurnFigures:
-        """Let the time pass and return the figures."""
+        """Run to the end; return the figures."""
         network = self.world.network
         network.after(0.0, self.start_request)
         network.after(CHANGE_INTERVAL, self.make_change)
@@ -105,7 +113,7 @@
         return self.collect()
 
     def start_request(self) -> None:
-        """Start a request, and arrange the next."""
+        """Start a request; schedule the next one after a random interval."""
         network = self.world.network
         flow = self.next_flow()
         network.start_request(flow, self.next_request())
@@ -114,14 +122,14 @@
             network.after(gap, self.start_request)
 
     def next_flow(self) -> FlowKey:
-        """Return a five-tuple that no earlier request had."""
+        """Return a five-tuple that was not used before."""
         self.requests += 1
         caller = f"198.51.100.{self.requests // 50_000 + 1}"
         port = 1024 + self.requests % 50_000
         return flow_key(6, SERVICE_IP, SERVICE_PORT, caller, port)
 
     def next_request(self) -> Request:
-        """Return a request of a random kind and length."""
+        """Return a request of random kind and duration."""
         kind = self.rng.choice(list(RequestKind))
         shares = [share for share, _ in DURATION_MIX]
         [(_, mean)] = self.rng.choices(DURATION_MIX, shares)
@@ -130,7 +138,7 @@
         return Request(f"request-{self.requests}", kind, size, BODY_RATE)
 
     def make_change(self) -> None:
-        """Make one change that the sizes allow, and arrange the next."""
+        """Make one random change within the size limits; schedule the next one."""
         world = self.world
         possible = []
         if len(world.live_hosts) > MIN_HOSTS:
@@ -148,7 +156,7 @@
             world.network.after(CHANGE_INTERVAL, self.make_change)
 
     def collect(self) -> ChurnFigures:
-        """Return the figures of a run that has ended."""
+        """Return the figures of the finished run."""
         world = self.world
         sessions = world.network.callers.sessions.values()
         corrections = [
@@ -169,7 +177,7 @@
         )
 
     def late_work(self) -> int:
-        """Return how many openings leaving targets took after the grace."""
+        """Return the number of openings that leaving targets accepted too late."""
         targets = self.world.network.targets
         return sum(
             accepted > left + LEAVING_GRACE
@@ -179,12 +187,12 @@
 
 
 def measure(job: tuple[Variant, int]) -> ChurnFigures:
-    """Return the figures of one variant and seed."""
+    """Return the figures of one variant with one seed."""
     return ChurnRun.from_seed(*job).run()
 
 
 def run() -> list[Result]:
-    """Measure every variant at every seed."""
+    """Measure every variant with every seed."""
     jobs = [(variant, seed) for variant in Variant for seed in SEEDS]
     figures = dict(zip(jobs, run_jobs(measure, jobs), strict=True))
     return [
@@ -198,7 +206,7 @@
 
 
 def broken_rows(figures: Figures) -> list[Result]:
-    """Return the broken flows of each seed, and of the baselines."""
+    """Return the broken flows of the balancer and of the baselines, by seed."""
     rows = [
         Result.at_most(
             "churn.broken_flows",
@@ -226,7 +234,7 @@
 
 
 def guarantee_rows(figures: Figures) -> list[Result]:
-    """Return what must not happen, summed over the seeds."""
+    """Return the counts of violated guarantees, summed over the seeds."""
     measures = {
         "churn.corrections_run_twice": lambda item: item.run_twice,
         "churn.wrong_answers": lambda item: item.outcomes[Outcome.WRONG],
@@ -235,24 +243,26 @@
     return [
         Result.at_most(
             name,
-            sum(of(figures[Variant.BALANCER, seed]) for seed in SEEDS),
+            sum(measure_of(figures[Variant.BALANCER, seed]) for seed in SEEDS),
             "count",
             0,
-            baseline=sum(of(figures[Variant.HASH_ONLY, seed]) for seed in SEEDS),
+            baseline=sum(
+                measure_of(figures[Variant.HASH_ONLY, seed]) for seed in SEEDS
+            ),
             command=COMMAND,
         )
-        for name, of in measures.items()
+        for name, measure_of in measures.items()
     ]
 
 
 def cost_rows(figures: Figures) -> list[Result]:
-    """Return what keeping the flows cost, over all seeds."""
-    ours = [figures[Variant.BALANCER, seed] for seed in SEEDS]
-    requests = sum(item.requests for item in ours)
+    """Return what it costs the balancer to keep flows, summed over the seeds."""
+    runs = [figures[Variant.BALANCER, seed] for seed in SEEDS]
+    requests = sum(item.requests for item in runs)
     totals: Counter[str] = Counter()
-    for item in ours:
+    for item in runs:
         totals.update(item.counters)
-    refused = sum(item.outcomes[Outcome.REFUSED] for item in ours)
+    refused = sum(item.outcomes[Outcome.REFUSED] for item in runs)
     walks = max(1, totals["walks"])
     return [
         Result("churn.requests", requests, "requests", command=COMMAND),
--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -1,4 +1,4 @@
-"""What a decision costs, and what a flow takes up in memory."""
+"""Time to decide on a packet, and memory of a flow, in the first mode."""
 
 from __future__ import annotations
 
@@ -35,24 +35,26 @@
 HOSTS = 6
 TARGETS = 7
 
-#: Packets timed in one repeat, and repeats of which the median counts.
+#: Packets timed in one repeat, and number of repeats. The figure is their median.
 PACKETS = 1000
 REPEATS = 25
 
-#: Ratios to the hash-only baseline.
+#: Largest ratios to the hash-only baseline, for established and for new flows.
 ESTABLISHED_BOUND = 2.0
 NEW_BOUND = 6.0
 
-#: Flows at which memory is measured; the last one has the bound.
+#: Numbers of flows at which memory is measured. The last one has the bound, in bytes
+#: per flow.
 MEMORY_SIZES = (100_000, 200_000, 300_000)
 BYTES_BOUND = 220.0
 
-#: Seconds between two openings, within an owner's share of the account's rate.
+#: Seconds between two openings: keeps within an owner's share of the account's rate
+#: limit.
 OPENING_GAP = 0.001
 
 
 def owned_flows(core: Balancer, start: int, count: int) -> list[FlowKey]:
-    """Return flows that a core owns, numbered from a start."""
+    """Return the first flows that a core owns, counting up from a flow number."""
     flows: list[FlowKey] = []
     number = start
     while len(flows) < count:
@@ -68,7 +70,7 @@
     events: list[PacketReceived],
     start: float,
 ) -> float:
-    """Return the microseconds that a packet takes, on the average."""
+    """Return the mean time per packet in microseconds."""
     gc.disable()
     now = start
     began = time.perf_counter()
@@ -81,7 +83,10 @@
 
 
 def measure_costs() -> dict[str, float]:
-    """Return median microseconds of decisions, repeats of all kinds interleaved."""
+    """Return the median time per packet in microseconds, by kind of packet.
+
+    The repeats of all kinds are interleaved.
+    """
     hosts = [make_host(index) for index in range(HOSTS)]
     core = Balancer.from_config(hosts[0], hosts[1:])
     hashed = HashOnly.from_config(hosts[0], hosts[1:])
@@ -112,7 +117,7 @@
 
 
 def measure_bytes(count: int) -> float:
-    """Return the bytes an established flow takes up, on the average."""
+    """Return the mean memory of an established flow in bytes, at a number of flows."""
     core = Balancer.from_config(make_host(0))
     configure(core, TARGETS)
     gc.collect()
@@ -129,28 +134,28 @@
 
 
 def run() -> list[Result]:
-    """Measure costs, alone, and then memory."""
+    """Measure times with nothing else running, then memory in parallel."""
     [costs] = run_jobs(call, [measure_costs])
     sizes = run_jobs(measure_bytes, MEMORY_SIZES)
     return [*cost_rows(costs), *memory_rows(sizes)]
 
 
 def call(function: Callable[[], dict[str, float]]) -> dict[str, float]:
-    """Return what a function returns, in a process of its own."""
+    """Call a function; the job for a worker process of `run_jobs`."""
     return function()
 
 
 def cost_rows(costs: dict[str, float]) -> list[Result]:
-    """Return microseconds beside the baseline's, and their ratios."""
+    """Return the times with those of the baseline, and their ratios."""
     rows = []
     for name, baseline, bound in (
         ("established", "hash", ESTABLISHED_BOUND),
         ("new", "hash_new", NEW_BOUND),
     ):
-        ours, theirs = round(costs[name], 3), round(costs[baseline], 3)
+        cost, baseline_cost = round(costs[name], 3), round(costs[baseline], 3)
         title = f"decision.{name}_flow"
-        rows.append(Result(title, ours, "us", theirs, command=COMMAND))
-        ratio = round(ours / theirs, 3)
+        rows.append(Result(title, cost, "us", baseline_cost, command=COMMAND))
+        ratio = round(cost / baseline_cost, 3)
         rows.append(
             Result.at_most(f"{title}_ratio", ratio, "ratio", bound, command=COMMAND)
         )
@@ -158,7 +163,7 @@
 
 
 def memory_rows(sizes: list[float]) -> list[Result]:
-    """Return bytes a flow, and the slope between the least and the most flows."""
+    """Return bytes per flow, and the slope from the smallest to the largest size."""
     rows = [
         Result(f"decision.bytes_per_flow_{count}", round(size, 1), "B", command=COMMAND)
         for count, size in zip(MEMORY_SIZES[:-1], sizes[:-1], strict=True)
--- a/benchmarks/relays.py
+++ b/benchmarks/relays.py
@@ -1,4 +1,4 @@
-"""Packets relayed between hosts, with and without hints, for long flows."""
+"""Fraction of packets relayed between hosts, with and without hints, for long flows."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 HOSTS = 6
 TARGETS = 7
 FLOWS = 100
-#: Packets of each flow, half of them answers, and packets a second.
+#: Packets of each flow, half of them from the target, and their rate per second.
 PACKETS = 1200
 PACKET_RATE = 20.0
 
@@ -47,22 +47,23 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """Cores that hand each other relays at once."""
+    """Cores that deliver relays to each other without delay."""
 
     rng: random.Random
-    #: Whether each flow's packets reach one host, or a random one.
+    #: Whether all packets of a flow reach the same host; if not, each a random one.
     stable: bool
     #: Whether hints are delivered.
     hints: bool
     cores: dict[str, Balancer] = field(default_factory=dict)
+    #: Packets received from the fabric, and relays that carried a packet.
     received: int = 0
     relayed: int = 0
-    #: Target that each flow's packets went to last.
+    #: Target of the last packet of each flow.
     last_targets: dict[FlowKey, str] = field(default_factory=dict)
 
     @classmethod
     def from_spray(cls, stable: bool, hints: bool) -> Fleet:
-        """Make a fleet whose hosts know each other."""
+        """Return a fleet whose hosts know each other, for one kind of spray."""
         fleet = cls(random.Random(SEED), stable, hints)
         hosts = [make_host(index) for index in range(HOSTS)]
         for host in hosts:
@@ -73,7 +74,7 @@
         return fleet
 
     def run(self) -> float:
-        """Send every flow's packets; return the relays a packet took."""
+        """Send the packets of all flows; return the mean relays per packet."""
         flows = [numbered_flow(number) for number in range(FLOWS)]
         for flow in flows:
             self.open_flow(flow)
@@ -84,19 +85,19 @@
         return self.relayed / self.received
 
     def open_flow(self, flow: FlowKey) -> None:
-        """Open a flow."""
+        """Complete the handshake of a flow."""
         self.send(from_caller(flow, SYN), 0.0)
         self.send(from_target(flow, self.last_targets[flow], SYN | ACK), 0.0)
         self.send(from_caller(flow, ACK), 0.0)
 
     def next_packet(self, flow: FlowKey, number: int) -> PacketReceived:
-        """Return a packet of the caller or the target, in turns."""
+        """Return a data packet, alternately from the caller and the target."""
         if number % 2:
             return from_target(flow, self.last_targets[flow], ACK, length=100)
         return from_caller(flow, ACK, length=100)
 
     def send(self, event: PacketReceived, now: float) -> None:
-        """Give a packet to the host the fabric picks."""
+        """Deliver a packet to the host that the fabric chooses."""
         names = list(self.cores)
         index = self.rng.randrange(HOSTS)
         if self.stable:
@@ -106,7 +107,7 @@
         self.perform(host_id, self.cores[host_id].receive(event, now), now)
 
     def perform(self, host_id: str, actions: list[Action], now: float) -> None:
-        """Deliver relays, and note where packets go."""
+        """Deliver relays; record the target of each packet."""
         for action in actions:
             if isinstance(action, SendToTarget):
                 self.last_targets[action.packet.flow] = action.target_id
@@ -114,7 +115,7 @@
                 self.deliver(host_id, action, now)
 
     def deliver(self, host_id: str, relay: Relay, now: float) -> None:
-        """Hand a relay to its host."""
+        """Deliver a relay to its host and perform the resulting actions."""
         if relay.kind not in PACKETLESS_KINDS:
             self.relayed += 1
         if relay.kind is RelayKind.HINT and not self.hints:
@@ -128,17 +129,17 @@
 
 
 def run() -> list[Result]:
-    """Measure both sprays; the baseline is the same run without hints."""
+    """Measure both kinds of spray; the baseline is the same run without hints."""
     rows = []
     for name, stable in (("random", False), ("flow_stable", True)):
-        ours = Fleet.from_spray(stable, hints=True).run()
-        plain = Fleet.from_spray(stable, hints=False).run()
+        with_hints = Fleet.from_spray(stable, hints=True).run()
+        without_hints = Fleet.from_spray(stable, hints=False).run()
         rows.append(
             Result(
                 f"relays.per_packet_{name}_spray",
-                round(ours, 4),
+                round(with_hints, 4),
                 "relays",
-                round(plain, 4),
+                round(without_hints, 4),
                 seed=SEED,
                 command=COMMAND,
             )
--- a/tests/test_benchmarks/test_figures.py
+++ b/tests/test_benchmarks/test_figures.py
@@ -1,4 +1,4 @@
-"""Regression bounds on the benchmark figures that do not depend on a clock."""
+"""Regression bounds on the benchmark figures that do not depend on real time."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 
-#: Virtual seconds of churn, a quarter of what the benchmark runs.
+#: Virtual seconds of churn, a quarter of the benchmark's duration.
 DURATION = 30.0
 
 
 @pytest.mark.parametrize("seed", [0, 1])
 def test_no_flow_breaks_under_churn(seed):
-    """Every upload, preview and correction comes back whole, and runs once.
+    """Every upload, preview and correction completes correctly and runs once.
 
-    Hosts are killed, join and leave, targets come and go, one change every six
-    seconds, while views lag. The hash-only core, under the same changes, shows that
-    they do break flows.
+    Hosts are killed, join and leave, and targets start and stop, one change every six
+    seconds, while host states lag behind. The hash-only core checks that these changes
+    do break flows.
     """
     figures = ChurnRun.from_seed(Variant.BALANCER, seed, DURATION).run()
     assert figures.outcomes == {Outcome.COMPLETED: figures.requests}
@@ -40,8 +40,8 @@
 
 
 def test_steady_load_is_balanced():
-    ours, hashed = SteadyLoad.from_seed(CURRENT_SIZES, 0).run()
-    assert ours <= BOUND < hashed
+    placed, hashed = SteadyLoad.from_seed(CURRENT_SIZES, 0).run()
+    assert placed <= BOUND < hashed
 
 
 def test_hints_reduce_relays():
@@ -50,15 +50,15 @@
 
 
 def test_memory_of_flow_stays_within_bound():
-    """A row that grows by one field costs megabytes at hundreds of thousands.
+    """One more field of a flow row costs megabytes at hundreds of thousands of flows.
 
-    At this size a flow's share of the owner ring, which does not grow, is 70 bytes.
+    At this size a flow's share of the owner table, which does not grow, is 70 bytes.
     """
     assert measure_bytes(30_000) <= 255
 
 
 def test_memory_of_token_mode_flow_stays_within_bound():
-    """The smallest host has 120 MB; its table of flows must stay a small part."""
+    """The smallest host has 120 MB of memory; the flow table must stay a small part."""
     assert token_bytes() <= BYTES_BOUND
 
 
