--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,4 +1,4 @@
-"""Calls and bytes of the configuration: commits, head, shards and idle accounts."""
+"""Platform calls and sizes of the configuration: commits, head, shards, accounts."""
 
 from __future__ import annotations
 
@@ -30,18 +30,20 @@
 
 COMMAND = "python -m benchmarks --only configuration"
 
+#: Number of client accounts.
 ACCOUNTS = 10_000
 
-#: Targets of an account.
+#: Targets of each client account.
 TARGETS = 2
 
-#: Changes a day; more than the head remembers, so that it is as large as it gets.
+#: Changes per day. More than the head keeps, so that it reaches its largest size.
 CHANGES_PER_DAY = 3_700
 
-#: Commits measured, after as many as fill the head.
+#: Number of measured commits, after those that fill the head.
 MEASURED_COMMITS = 100
 
-#: Largest number of change ids and records that the head can hold.
+#: Number of commits that fill the head; it holds at most as many change ids and
+#: records.
 FILLING_COMMITS = 400
 
 ZONES = ("brancaccio", "zisa", "carini")
@@ -63,7 +65,7 @@
 
 
 def run() -> list[dict[str, object]]:
-    """Measure everything; the same figures come out of every run but memory."""
+    """Measure all figures; all except memory are the same in every run."""
     platform = CountingPlatform(MemoryPlatform())
     store = ConfigurationStore.from_platform(platform, ZONES)
     anyio.run(store.commit, template_change(), 0.0)
@@ -78,7 +80,7 @@
 
 
 def commit_figures(platform: CountingPlatform) -> list[Result]:
-    """Return calls and bytes of one commit."""
+    """Return platform calls and bytes of one commit."""
     counts = platform.counts
     at_most = partial(Result.at_most, command=COMMAND)
     written = counts.bytes_written / MEASURED_COMMITS
@@ -103,7 +105,7 @@
 
 
 def size_figures(platform: CountingPlatform) -> list[Result]:
-    """Return the sizes of head and shards, beside the one megabyte allowed."""
+    """Return the sizes of head and shards; the baseline is the limit, one megabyte."""
     assert isinstance(platform.platform, MemoryPlatform)
     values = platform.platform.values
     shards = [
@@ -126,7 +128,7 @@
 
 
 def idle_figures(platform: CountingPlatform, snapshot: Snapshot) -> list[Result]:
-    """Return what an account costs a core that serves nothing of it."""
+    """Return the memory and rows of an idle account on a host."""
     host = make_host()
     tables = Tables(host.host_id, host.zone, host.group, 1_000_000)
     tables.hosts[host.host_id] = HostRow(host)
@@ -160,7 +162,7 @@
 
 
 def read_figures(platform: CountingPlatform) -> list[Result]:
-    """Return what a process pays that knows nothing yet, and for one record."""
+    """Return platform calls and bytes of a first read, and calls to read a record."""
     store = ConfigurationStore.from_platform(platform, ZONES)
     platform.counts.clear()
     revision = anyio.run(store.read_snapshot).revision
@@ -176,7 +178,7 @@
 
 
 def measure_memory(tables: Tables, snapshot: Snapshot) -> int:
-    """Return the bytes that the rows take, without the entities they point to."""
+    """Return the memory of the rows in bytes, without the entities they refer to."""
     tracemalloc.start()
     apply_snapshot(tables, snapshot, 0.0)
     used, _ = tracemalloc.get_traced_memory()
@@ -185,20 +187,20 @@
 
 
 def measure_reading(platform: CountingPlatform) -> tuple[int, int]:
-    """Return the bytes of a snapshot, and of the store that has read it."""
+    """Return the memory of a snapshot, and of the store that has read it, in bytes."""
     store = ConfigurationStore.from_platform(platform, ZONES)
     tracemalloc.start()
     snapshot = anyio.run(store.read_snapshot)
-    both, _ = tracemalloc.get_traced_memory()
+    total, _ = tracemalloc.get_traced_memory()
     del snapshot
     gc.collect()
     kept, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return both - kept, kept
+    return total - kept, kept
 
 
 def measure_committing(platform: CountingPlatform) -> int:
-    """Return the bytes of a store that keeps the definitions to commit."""
+    """Return the memory in bytes of a store that keeps the catalog for commits."""
     store = ConfigurationStore.from_platform(platform, ZONES)
     tracemalloc.start()
     anyio.run(store.read_catalog)
@@ -209,7 +211,7 @@
 
 
 async def write_all_accounts(store: ConfigurationStore) -> None:
-    """Write all accounts at once: one commit after another takes minutes."""
+    """Write all accounts in one draft; separate commits would take minutes."""
     catalog = await store.read_catalog()
     change = account_change(0, 1, "fill")
     draft = Draft(catalog, change, 0.0, store.zones)
@@ -222,7 +224,7 @@
 
 
 async def commit_changes(store: ConfigurationStore, start: int, count: int) -> None:
-    """Change one account after another."""
+    """Commit a number of changes, each of one account."""
     for number in range(start, start + count):
         revision = store.reader.head.revision
         token = digest_of(f"change {number}".encode())
@@ -231,12 +233,12 @@
 
 
 def template_change() -> PutTemplate:
-    """Make the change that puts the template."""
+    """Return the change that stores the template."""
     return PutTemplate(change_id="0-template", author="operator", template=TEMPLATE)
 
 
 def account_change(number: int, revision: int, token: str) -> PutAccount:
-    """Make the change of one numbered account."""
+    """Return a change of account `number`."""
     return PutAccount(
         change_id=f"{revision}-{token}",
         author="operator",
@@ -247,7 +249,7 @@
 
 
 def account_parameters(number: int, revision: int) -> Mapping[str, Any]:
-    """Return the parameters of one numbered account."""
+    """Return the template parameters of account `number` at a revision."""
     high, low = divmod(number, 250)
     targets = [
         {
--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -1,4 +1,4 @@
-"""A host at the size to design for: memory of a process, processor time of control."""
+"""One host at the design size: process memory, CPU time of control messages."""
 
 from __future__ import annotations
 
@@ -29,29 +29,31 @@
 
 COMMAND = "python -m benchmarks --only footprint"
 
-#: The size to design for: client accounts with one address each, their targets, and
-#: rows of flows on one host: 30 million over 3,400 hosts, the copies it holds for
-#: others for 30 s and the closed ones it pins for 60 s at 59 new flows a second.
+#: Design size: client accounts with one address each, their targets, and flow rows on
+#: one host. The rows are its share of 30 million flows over 3,400 hosts, backup
+#: bindings kept for 30 s, and closed flows kept for 60 s, at 59 new flows per second.
 ACCOUNTS = 2_900
 TARGETS = 28_000
 FLOWS = 14_100
 
-#: Most memory of a process, MB, and most of a core that control may take.
+#: Largest memory of a process in MB, and largest share of a CPU core for control
+#: messages.
 MEMORY_BOUND = 256.0
 CONTROL_BOUND = 0.031
 
-#: Hosts of the fleet whose control is timed, and virtual seconds of it.
+#: Number of hosts of the fleet whose control messages are timed, and virtual seconds
+#: before and during the measurement.
 FLEET_SIZE = 300
 SETTLING_TIME = 2.0
 MEASURED_TIME = 5.0
 SEED = 11
 
-#: Messages sealed and opened to time one.
+#: Number of messages encoded and decoded to time one.
 MESSAGES = 2_000
 
 
 def make_snapshot() -> Snapshot:
-    """Return the configuration at the size to design for."""
+    """Return the configuration at the design size."""
     per_account, more = divmod(TARGETS, ACCOUNTS)
     accounts = []
     number = 0
@@ -66,14 +68,14 @@
 
 
 def make_target(account: int, number: int) -> Target:
-    """Return one target."""
+    """Return the target `number` of the client account with index `account`."""
     ip = f"10.{1 + number // 62_500}.{number // 250 % 250}.{number % 250 + 1}"
     tunnel = Endpoint(ip, 6080)
     return Target(f"target-{number}", f"account-{account}", tunnel, "zone")
 
 
 def fill_host() -> dict[str, float]:
-    """Fill a core in this process; return its memory and the time to configure."""
+    """Fill a core in this process; return memory (MB) and time to configure (s)."""
     sockets = [Endpoint("127.0.0.1", port) for port in (1, 2, 3)]
     core = Balancer.from_config(Host("host", "zone", "group", *sockets))
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
@@ -90,9 +92,9 @@
 
 
 def control_cpu_share() -> float:
-    """Return the share of a core that control takes on a host of a large fleet.
+    """Return the share of a CPU core that control messages of one host take.
 
-    The in-memory network is counted in, which a real host does not run.
+    This includes the time of the in-memory network, which a real host does not run.
     """
     fleet = Fleet.from_size(FLEET_SIZE, 0.0, SEED)
     fleet.run(SETTLING_TIME)
@@ -102,7 +104,7 @@
 
 
 def message_time() -> float:
-    """Return the seconds it takes to seal and open one message."""
+    """Return the seconds of CPU time to encode and decode one message."""
     encoder = DatagramEncoder("host-1", KEY, UNIX_TIME_MS)
     decoder = DatagramDecoder("host-0", (KEY,))
     started_at = time.process_time()
@@ -115,7 +117,10 @@
 
 
 def run() -> list[Result]:
-    """Return the figures of one host."""
+    """Return the figures of one host.
+
+    The memory is measured in a fresh process.
+    """
     child = [sys.executable, "-m", "benchmarks.footprint"]
     output = subprocess.run(child, check=True, capture_output=True, text=True).stdout
     filled = json.loads(output)
@@ -138,7 +143,7 @@
     ]
 
 
-#: The daemon, imported so that its libraries count in the memory of a process.
+#: The daemon. Its import makes its libraries count in the memory of the process.
 DAEMON = HostDaemon
 
 if __name__ == "__main__":
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -1,4 +1,4 @@
-"""A fleet of cores whose control messages are sealed, metered and budgeted."""
+"""Simulated fleet whose control messages are signed, counted and rate-limited."""
 
 from __future__ import annotations
 
@@ -36,24 +36,25 @@
 if TYPE_CHECKING:
     from citronspring.messages import Action
 
+#: Key that signs control messages.
 KEY = bytes(32)
 
-#: Milliseconds since the epoch; only the length of its encoding matters.
+#: Unix time in milliseconds. Only the length of its encoding matters.
 UNIX_TIME_MS = 1_800_000_000_000
 
-#: Client accounts of the fleet, and targets of each.
+#: Number of client accounts of the fleet, and targets of each.
 ACCOUNTS = 100
 TARGETS = 7
 
-#: Seconds until a watch of the platform answers.
+#: Delay of the answer to a platform watch, virtual seconds.
 WATCH_DELAY = 0.01
 
-#: Hosts that settings name.
+#: Number of seed hosts, which the settings of every host name.
 SEED_HOSTS = 3
 
 
 def make_account(index: int, revision: int) -> Account:
-    """Return a client account as it is at a revision."""
+    """Return the client account `index` as of a revision."""
     ip = f"192.0.{index // 250}.{index % 250 + 1}"
     address = ServiceAddress(ip, 443, Protocol.TCP)
     targets = tuple(
@@ -64,72 +65,74 @@
 
 @dataclass(slots=True)
 class ControlLink:
-    """One host's way to the control network."""
+    """Encoder, send budget and byte counts of the control messages of one host."""
 
     encoder: DatagramEncoder
     budget: ControlBudget[tuple[str, object, int]] = field(
         default_factory=ControlBudget
     )
-    #: Bytes sent, headers included; bulk copies apart.
+    #: Bytes sent, headers included: without and of snapshot transfers.
     bytes_sent: int = 0
     bulk_bytes_sent: int = 0
 
 
 class GossipNetwork(Network):
-    """The in-memory network, with control messages as datagrams of a budget."""
+    """In-memory network that sends control messages as datagrams within a budget."""
 
+    #: Control link of each host, by id.
     links: dict[str, ControlLink]
 
     def perform_action(self, host_id: str, action: Action) -> None:
-        """Put a control message on the wire; leave the rest as it is."""
+        """Encode and queue a control message; perform other actions as usual."""
         if not isinstance(action, SendControl):
             super().perform_action(host_id, action)
             return
-        wire = self.links[host_id]
+        link = self.links[host_id]
         now = UNIX_TIME_MS + int(self.now * 1000)
-        size = len(wire.encoder.encode_datagram(action.message, action.host_id, now))
+        size = len(link.encoder.encode_datagram(action.message, action.host_id, now))
         item = (action.host_id, action.message, size)
-        wire.budget.enqueue(item, priority_of(action.message), size, self.now)
+        link.budget.enqueue(item, priority_of(action.message), size, self.now)
         self.flush(host_id)
 
     def flush(self, host_id: str) -> None:
-        """Send what the budget allows."""
-        wire = self.links[host_id]
-        for peer, message, size in wire.budget.dequeue(self.now):
+        """Send the queued messages that the budget of a host allows."""
+        link = self.links[host_id]
+        for peer, message, size in link.budget.dequeue(self.now):
             if priority_of(message) is Priority.BULK:
-                wire.bulk_bytes_sent += size + IP_UDP_HEADERS
+                link.bulk_bytes_sent += size + IP_UDP_HEADERS
             else:
-                wire.bytes_sent += size + IP_UDP_HEADERS
+                link.bytes_sent += size + IP_UDP_HEADERS
             self.deliver(host_id, peer, message)
 
     def deliver(self, host_id: str, peer: str, message: object) -> None:
-        """Carry one message."""
+        """Send one control message to a peer over the simulated network."""
         event = ControlReceived(host_id, message)
         self.transmit(host_id, peer, lambda: self.deliver_event(peer, event))
 
     def tick(self) -> None:
-        """Tick every core and send what waited."""
+        """Tick every core and send queued messages."""
         super().tick()
-        for host_id, wire in self.links.items():
-            if wire.budget.count() and host_id in self.hosts:
+        for host_id, link in self.links.items():
+            if link.budget.count() and host_id in self.hosts:
                 self.flush(host_id)
 
 
 @dataclass
 class Fleet:
-    """Hosts that know each other, and the platform's records."""
+    """Simulated hosts that know each other, and change records of the platform."""
 
     network: GossipNetwork
     size: int
     revision: int = 1
+    #: Current client accounts by id, and change records by revision.
     accounts: dict[str, Account] = field(default_factory=dict)
     records: dict[int, ChangeRecord] = field(default_factory=dict)
-    #: Calls of the platform: reads, watches, confirmations.
+    #: Number of platform calls by host: reads, watches, confirmations.
     calls: Counter[str] = field(default_factory=Counter)
 
     @classmethod
     def from_size(cls, size: int, loss: float, seed: int) -> Fleet:
-        """Make a fleet in its steady state: all hosts know all, at revision 1."""
+        """Return a fleet in steady state: all hosts know each other, at revision 1."""
         network = GossipNetwork(random.Random(seed), LinkQuality(loss=loss))
         network.links = {}
         fleet = cls(network, size)
@@ -146,7 +149,7 @@
         return fleet
 
     def start_host(self, index: int, known: int, incarnation: int) -> Balancer:
-        """Start a host that knows the first few others."""
+        """Start a host that knows the hosts with an index below `known`."""
         host = make_host(index)
         peers = [make_host(other) for other in range(known) if other != index]
         core = Balancer.from_config(host, peers, incarnation=incarnation)
@@ -156,11 +159,14 @@
         return core
 
     def snapshot(self) -> Snapshot:
-        """Return the configuration."""
+        """Return the current configuration."""
         return Snapshot(self.revision, tuple(self.accounts.values()))
 
     def commit(self) -> int:
-        """Accept a change of one account; readers' watches answer soon."""
+        """Commit a change of one account and answer the watches of the readers.
+
+        Returns the new revision.
+        """
         self.revision += 1
         index = self.revision % ACCOUNTS
         account = make_account(index, self.revision)
@@ -170,20 +176,20 @@
         self.records[self.revision] = record
         for host_id, core in self.network.hosts.items():
             if core.tables.replication.is_reader:
-                # The watch answers, the head is read, the next watch waits, and
-                # the zone's confirmation is read and written.
+                # Four calls: read the head after the watch has answered, start the
+                # next watch, read and write the confirmation of the zone.
                 self.calls[host_id] += 4
                 self.answer_read(host_id)
         return self.revision
 
     def perform(self, host_id: str, action: Action) -> None:
-        """Answer a core's read of the platform."""
+        """Count and answer the platform reads of a core."""
         if isinstance(action, ReadPlatform):
             self.calls[host_id] += 1
             self.answer_read(host_id)
 
     def answer_read(self, host_id: str) -> None:
-        """Give a host what the platform has beyond its revision."""
+        """Send a host the changes after its revision, or a snapshot if it has none."""
         core = self.network.hosts[host_id]
         known = core.tables.revision
         event: SnapshotRead | RecordsRead = SnapshotRead(self.snapshot())
@@ -195,11 +201,11 @@
         )
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance virtual time."""
         self.network.run_until(self.network.now + seconds)
 
     def replication_time(self, step: float = 0.05, limit: float = 10.0) -> float:
-        """Commit a change; return seconds until it is in force on all hosts."""
+        """Commit a change; return the seconds until it is in effect on all hosts."""
         accepted_at = self.network.now
         revision = self.commit()
         while self.network.now - accepted_at < limit:
@@ -210,7 +216,7 @@
         return self.network.now - accepted_at
 
     def detection_time(self, host_id: str, limit: float = 12.0) -> float:
-        """Kill a host; return seconds until all others hold it dead."""
+        """Kill a host; return the seconds until all others declare it dead."""
         self.network.kill_host(host_id)
         killed_at = self.network.now
         while self.network.now - killed_at < limit:
@@ -220,38 +226,39 @@
         return self.network.now - killed_at
 
     def is_declared_dead(self, host_id: str) -> bool:
-        """Whether every host that knows a host holds it dead."""
+        """Return whether a host is dead or unknown to every other host."""
         rows = (core.tables.hosts.get(host_id) for core in self.network.hosts.values())
         return all(row is None or row.state is HostState.DEAD for row in rows)
 
     def control_traffic_during(self, seconds: float) -> ControlTraffic:
-        """Let time pass; return what hosts sent meanwhile."""
+        """Advance virtual time; return the control traffic of that period."""
         before = {
-            host_id: (wire, wire.bytes_sent, wire.bulk_bytes_sent)
-            for host_id, wire in self.network.links.items()
+            host_id: (link, link.bytes_sent, link.bulk_bytes_sent)
+            for host_id, link in self.network.links.items()
         }
         self.run(seconds)
         control, bulk = [], []
-        for host_id, wire in self.network.links.items():
-            old, sent, bulk_sent = before.get(host_id, (wire, 0, 0))
-            if old is not wire:
+        for host_id, link in self.network.links.items():
+            old_link, sent, bulk_sent = before.get(host_id, (link, 0, 0))
+            if old_link is not link:
                 sent = bulk_sent = 0
-            control.append((wire.bytes_sent - sent) / seconds)
-            bulk.append((wire.bulk_bytes_sent - bulk_sent) / seconds)
+            control.append((link.bytes_sent - sent) / seconds)
+            bulk.append((link.bulk_bytes_sent - bulk_sent) / seconds)
         return ControlTraffic(max(control), sum(control) / len(control), max(bulk))
 
     def counter_total(self, name: str) -> int:
-        """Return a counter's sum over all hosts."""
+        """Return the sum of a counter over all hosts."""
         cores = self.network.hosts.values()
         return sum(core.tables.counters[name] for core in cores)
 
 
 @dataclass(frozen=True, slots=True)
 class ControlTraffic:
-    """Control bytes a second."""
+    """Control traffic of the hosts, bytes per second."""
 
-    #: Of the host that sent most, bulk copies apart.
+    #: Rate of the host that sent most, without snapshot transfers.
     busiest: float
+    #: Mean over all hosts, without snapshot transfers.
     mean: float
-    #: Bulk copies, of the host that sent most.
+    #: Snapshot transfers of the host that sent most of them.
     bulk: float
