--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,8 +1,8 @@
-"""Owners of one group driven directly, in virtual time, without a network between.
+"""Owners of one group, driven directly in virtual time, without a network.
 
-Each opening goes to its owner at once; targets answer at once, shed or freeze. Only
-the messages about loads travel, one step late. So hundreds of targets and tens of
-thousands of flows fit into seconds, and nothing but the policy is measured.
+Each opening reaches its owner without delay. Targets answer without delay, shed load
+or freeze. Only load messages take time: one step. This simulates hundreds of targets
+and tens of thousands of flows within seconds, and measures only the placement policy.
 """
 
 from __future__ import annotations
@@ -42,53 +42,58 @@
     from citronspring.entities import FlowKey, Snapshot
     from citronspring.messages import Action
 
-#: Virtual seconds between two looks at what is due.
+#: Virtual seconds between two steps.
 STEP = 0.05
 
-#: Virtual seconds between two looks at flows that ended.
+#: Virtual seconds between two runs of flow expiry.
 EXPIRY_INTERVAL = 4.0
 
 #: Bytes of the IP and UDP headers of a control datagram.
 HEADER_BYTES = 28
 
+#: Initial TCP sequence numbers of callers and targets.
 CALLER_SEQ, TARGET_SEQ = 1000, 5000
 
 
 @dataclass(slots=True)
 class Fleet:
-    """Cores of hosts that know each other, and the targets behind them."""
+    """Cores of hosts that know each other, and simulated targets."""
 
     rng: random.Random
     cores: dict[str, Balancer]
-    #: Whether owners tell each other their loads.
+    #: Whether owners send their loads to each other.
     load_signal: bool = True
     now: float = 0.0
-    #: Flows that end: time, serial number, flow, owner, target.
+    #: Heap of scheduled flow ends: time, serial number, flow, owner, target.
     scheduled_ends: list[tuple[float, int, FlowKey, str, str]] = field(
         default_factory=list
     )
     serial_numbers: itertools.count[int] = field(default_factory=itertools.count)
-    #: Open flows by target.
+    #: Number of open flows by target.
     target_flows: Counter[str] = field(default_factory=Counter)
-    #: Open flows by service address.
+    #: Number of flows opened by service address.
     address_flows: Counter[str] = field(default_factory=Counter)
-    #: SYNs by target.
+    #: Number of SYNs sent by target.
     syn_counts: Counter[str] = field(default_factory=Counter)
-    #: Openings asked for, admitted and refused, by service address.
+    #: Openings requested, admitted and refused, by service address.
     requested: Counter[str] = field(default_factory=Counter)
     admitted: Counter[str] = field(default_factory=Counter)
     refused: Counter[str] = field(default_factory=Counter)
+    #: Targets that reset every opening, and targets that do not answer.
     shedding: set[str] = field(default_factory=set)
     frozen: set[str] = field(default_factory=set)
-    #: Targets whose endpoint says the opposite of the truth.
+    #: Targets whose health endpoint reports the opposite of their state.
     misreporting: set[str] = field(default_factory=set)
     #: Virtual time of the last SYN to each target.
     last_syn_at: dict[str, float] = field(default_factory=dict)
+    #: Control messages to deliver in the next step, with the receiving host.
     pending_messages: list[tuple[str, ControlReceived]] = field(default_factory=list)
+    #: Bytes of control datagrams sent, headers included.
     control_bytes: int = 0
     encoder: DatagramEncoder = field(
         default_factory=lambda: DatagramEncoder("host-00", bytes(16), 1)
     )
+    #: Mean duration of a flow, virtual seconds.
     lifetime: float = 60.0
     #: Service address of each flow that is being opened.
     addresses: dict[FlowKey, str] = field(default_factory=dict)
@@ -97,7 +102,7 @@
     def from_snapshot(
         cls, hosts: int, snapshot: Snapshot, seed: str, **settings: object
     ) -> Fleet:
-        """Make hosts that all have the configuration and know each other."""
+        """Return a fleet whose hosts have the configuration and know each other."""
         members = [make_host(index) for index in range(hosts)]
         cores = {}
         for member in members:
@@ -107,7 +112,7 @@
         return cls(random.Random(seed), cores, **settings)  # type: ignore[arg-type]
 
     def run(self, seconds: float, rates: dict[str, float]) -> None:
-        """Let time pass with new flows a second to each service address."""
+        """Advance virtual time; open flows at a rate per second and service address."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP
@@ -118,7 +123,7 @@
             self.tick()
 
     def arrivals(self, mean: float) -> int:
-        """Return how many of a Poisson stream arrive."""
+        """Return a Poisson-distributed random number of arrivals."""
         if mean <= 0:
             return 0
         count, passed = 0, self.rng.expovariate(1.0)
@@ -128,11 +133,11 @@
         return count
 
     def tick(self) -> None:
-        """Run the timed systems that are measured."""
-        mail, self.pending_messages = self.pending_messages, []
-        for host_id, event in mail:
+        """Deliver pending messages and run those timed systems that are measured."""
+        messages, self.pending_messages = self.pending_messages, []
+        for host_id, event in messages:
             self.cores[host_id].receive(event, self.now)
-        late = int(self.now / EXPIRY_INTERVAL) != int(
+        expiry_due = int(self.now / EXPIRY_INTERVAL) != int(
             (self.now - STEP) / EXPIRY_INTERVAL
         )
         for host_id, core in self.cores.items():
@@ -141,13 +146,13 @@
             request_probes(core.tables, self.now, actions)
             if self.load_signal:
                 send_loads(core.tables, self.now, actions)
-            if late:
+            if expiry_due:
                 expire_flows(core.tables, self.now)
                 deactivate_idle_accounts(core.tables, self.now)
             self.perform(host_id, actions)
 
     def open_flow(self, address: str) -> None:
-        """Let a new caller ask for a service."""
+        """Send the SYN of a new caller to a service address."""
         number = next(self.serial_numbers)
         caller = f"10.{number >> 14 & 255}.{number >> 6 & 255}.{number & 63}"
         flow = flow_key(6, address, 443, caller, 1024 + (number >> 22))
@@ -158,12 +163,12 @@
         self.deliver(owner, Packet(flow, True, SYN, CALLER_SEQ, 0, 0, b""))
 
     def deliver(self, host_id: str, packet: Packet, source: str | None = None) -> None:
-        """Give a packet to a host."""
+        """Deliver a packet to a host and perform the resulting actions."""
         event = PacketReceived(packet, source)
         self.perform(host_id, self.cores[host_id].receive(event, self.now))
 
     def perform(self, host_id: str, actions: list[Action]) -> None:
-        """Do what a core asks for."""
+        """Perform the actions of a core."""
         for action in actions:
             match action:
                 case SendToTarget(target_id, packet):
@@ -186,7 +191,7 @@
                     self.cores[host_id].receive(result, self.now)
 
     def simulate_target(self, host_id: str, target_id: str, packet: Packet) -> None:
-        """Play the target's part when a SYN comes."""
+        """Simulate the answer of a target to a SYN: accept, reset or none."""
         if not packet.flags & SYN:
             return
         self.syn_counts[target_id] += 1
@@ -214,7 +219,7 @@
         )
 
     def end_flows(self) -> None:
-        """Close the flows whose time has come."""
+        """Close the flows that have reached their scheduled end."""
         while self.scheduled_ends and self.scheduled_ends[0][0] <= self.now:
             _, _, flow, host_id, target_id = heapq.heappop(self.scheduled_ends)
             self.target_flows[target_id] -= 1
@@ -225,6 +230,6 @@
             self.deliver(host_id, answer, target_id)
 
     def imbalance(self, targets: int) -> float:
-        """Return the most flows on a target over the mean."""
+        """Return the largest number of open flows on a target, divided by the mean."""
         total = sum(self.target_flows.values())
         return max(self.target_flows.values()) * targets / total
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -1,4 +1,7 @@
-"""What the load signal buys, how soon failing targets are avoided, who is refused."""
+"""Effect of the load signal, avoidance of failing targets, and refusals.
+
+Also measures the cost of idle client accounts.
+"""
 
 from __future__ import annotations
 
@@ -29,34 +32,37 @@
 
 SEED = 1
 
-#: Flows a target in steady load, and the mean seconds that one lasts.
+#: Mean number of open flows of a target, and mean duration of a flow in seconds.
 FLOWS_PER_TARGET = 100
 LIFETIME = 60.0
 
-#: Virtual seconds: filling up, settling, and then one sample a second.
+#: Virtual seconds to open the flows and to settle; number of samples, one per second.
 FILL_TIME, SETTLING_TIME, SAMPLES = 2.0, 40.0, 20
 
-#: Hosts and targets, and the seeds that are averaged.
+#: Number of hosts, number of targets, number of seeds that are averaged.
 SIZES = ((6, 7, 4), (9, 30, 2), (30, 200, 1))
 
-#: Imbalance at today's size.
+#: Largest imbalance at the first of `SIZES`, the current size.
 IMBALANCE_BOUND = 1.05
-#: Control bytes a second of a host for loads.
+#: Largest control traffic of a host for loads, bytes per second.
 LOAD_BYTES_BOUND = 1024
-#: Bytes of core rows of an idle account with one address and three targets.
+#: Largest memory of the rows of an idle account with one address and three targets,
+#: bytes.
 IDLE_BYTES_BOUND = 1024
 IDLE_ACCOUNTS = 10_000
 
-#: New flows a second when a target fails, and how long that is watched.
+#: New flows per second while a target fails, and seconds of the measurement.
 FAILURE_RATE = 200.0
 FAILURE_TIME = 20.0
-#: Seconds after which a failing target gets no more than single trials.
+#: Longest time until a failing target only gets single trials, seconds.
 AVOIDANCE_BOUND = 2.0
 
-#: Least share of new flows of a target whose endpoint alone speaks against it.
+#: Smallest share of new flows, relative to the mean, of a healthy target whose health
+#: endpoint alone reports it as unhealthy.
 FALSE_REPORT_BOUND = 0.4
 
-#: New flows a second of the account that is not flooding.
+#: New flows per second of the account that stays below its limit, and seconds of the
+#: measurement while another account exceeds its limit.
 CALM_RATE = 20.0
 FLOOD_TIME = 20.0
 
@@ -65,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BalanceJob:
-    """One run of steady load."""
+    """Parameters of one run with steady load."""
 
     hosts: int
     targets: int
@@ -74,7 +80,7 @@
 
 
 def run() -> list[Result]:
-    """Measure everything."""
+    """Measure all figures."""
     rows = balance_rows()
     rows += failure_rows()
     rows += overload_rows()
@@ -87,7 +93,7 @@
 
 
 def balance_rows() -> list[Result]:
-    """Return imbalance with and without the load signal, and what it costs."""
+    """Return the imbalance with and without the load signal, and its traffic."""
     jobs = [
         BalanceJob(hosts, targets, seed, load_signal)
         for hosts, targets, seeds in reversed(SIZES)
@@ -98,17 +104,27 @@
     rows = []
     for hosts, targets, _ in SIZES:
         size = f"{hosts} hosts x {targets} targets"
-        plain = mean_over_seeds(answers, hosts, targets, load_signal=False)
-        told = mean_over_seeds(answers, hosts, targets, load_signal=True)
+        without_signal = mean_over_seeds(answers, hosts, targets, load_signal=False)
+        with_signal = mean_over_seeds(answers, hosts, targets, load_signal=True)
         bound = IMBALANCE_BOUND if targets == SIZES[0][1] else None
         hashed = hash_imbalance(targets)
         rows += [
-            make_result(f"imbalance, {size}, own counts", plain[0], "max/mean", hashed),
             make_result(
-                f"imbalance, {size}, load signal", told[0], "max/mean", plain[0], bound
+                f"imbalance, {size}, own counts", without_signal[0], "max/mean", hashed
+            ),
+            make_result(
+                f"imbalance, {size}, load signal",
+                with_signal[0],
+                "max/mean",
+                without_signal[0],
+                bound,
             ),
             make_result(
-                f"load signal, {size}", told[1], "B/s a host", 0.0, LOAD_BYTES_BOUND
+                f"load signal, {size}",
+                with_signal[1],
+                "B/s a host",
+                0.0,
+                LOAD_BYTES_BOUND,
             ),
         ]
     return rows
@@ -121,7 +137,7 @@
     *,
     load_signal: bool,
 ) -> tuple[float, float]:
-    """Return the means of imbalance and bytes over the seeds of a size."""
+    """Return the mean imbalance and traffic over the seeds of a size."""
     found = [
         answer
         for job, answer in answers.items()
@@ -132,7 +148,7 @@
 
 
 def measure_balance(job: BalanceJob) -> tuple[float, float]:
-    """Return mean imbalance, and control bytes a second of a host."""
+    """Return the mean imbalance, and the control bytes per second of a host."""
     targets = tuple(make_target(index) for index in range(job.targets))
     snapshot = make_snapshot(1, targets)
     fleet = Fleet.from_snapshot(
@@ -152,13 +168,13 @@
 
 
 def hash_imbalance(targets: int) -> float:
-    """Return the imbalance of as many live flows placed by hash alone."""
+    """Return the imbalance of the same number of open flows placed by hash alone."""
     core = Balancer.from_config(make_host(0))
     rows = tuple(make_target(index) for index in range(targets))
     core.receive(SnapshotRead(make_snapshot(1, rows)), 0.0)
     counts = dict.fromkeys(core.tables.targets, 0)
     rng = random.Random(SEED)
-    # Hashing depends on the set of live flows alone, so that any set will do.
+    # Placement by hash depends only on the set of open flows, so a random set serves.
     for number in range(targets * FLOWS_PER_TARGET):
         flow = flow_key(6, SERVICE_IP, 443, f"10.0.{rng.randrange(256)}.1", number)
         first = rank_targets(flow, list(core.tables.targets.values()))[0]
@@ -170,10 +186,10 @@
 
 
 def failure_rows() -> list[Result]:
-    """Return how soon new flows avoid a failing target, and what is lost."""
+    """Return how soon new flows avoid a failing target, and how many are refused."""
     rows = []
     for kind in ("sheds", "freezes"):
-        fleet, avoided, offered, lost = measure_failure(kind)
+        fleet, avoided, syns, refusals = measure_failure(kind)
         share = 1.0 / 7
         rows += [
             make_result(
@@ -185,18 +201,22 @@
             ),
             make_result(
                 f"target {kind}: SYNs to it in {FAILURE_TIME:.0f} s",
-                offered,
+                syns,
                 "SYNs",
                 FAILURE_TIME * FAILURE_RATE * share,
             ),
-            make_result(f"target {kind}: openings refused", lost, "flows", None, 0),
+            make_result(f"target {kind}: openings refused", refusals, "flows", None, 0),
         ]
     rows.append(false_report_row())
     return rows
 
 
 def measure_failure(kind: str) -> tuple[Fleet, float, int, int]:
-    """Let one of seven targets fail under load, with a lying endpoint."""
+    """Let one of seven targets fail under load while its endpoint reports it healthy.
+
+    Returns the fleet, the seconds until the target only gets single trials, the SYNs
+    that it got, and the number of refused openings.
+    """
     fleet = Fleet.from_snapshot(6, probed_snapshot(), f"failure {SEED}")
     fleet.lifetime = 10.0
     rate = {SERVICE_IP: FAILURE_RATE}
@@ -204,31 +224,34 @@
     failing = fleet.shedding if kind == "sheds" else fleet.frozen
     failing.add("target-0")
     fleet.misreporting.add("target-0")
-    began, before = fleet.now, fleet.syn_counts["target-0"]
+    began, syns_before = fleet.now, fleet.syn_counts["target-0"]
     refused = fleet.refused[SERVICE_IP]
-    last, seen = 0.0, before
+    last_excess_at, previous = 0.0, syns_before
     while fleet.now < began + FAILURE_TIME:
         fleet.run(0.25, rate)
-        # More than one SYN an owner in a quarter second is not a single trial.
-        if fleet.syn_counts["target-0"] - seen > len(fleet.cores):
-            last = fleet.now - began
-        seen = fleet.syn_counts["target-0"]
-    lost = fleet.refused[SERVICE_IP] - refused
-    return fleet, last, fleet.syn_counts["target-0"] - before, lost
+        # More than one SYN per owner in 0.25 s is more than single trials.
+        if fleet.syn_counts["target-0"] - previous > len(fleet.cores):
+            last_excess_at = fleet.now - began
+        previous = fleet.syn_counts["target-0"]
+    refusals = fleet.refused[SERVICE_IP] - refused
+    return fleet, last_excess_at, fleet.syn_counts["target-0"] - syns_before, refusals
 
 
 def false_report_row() -> Result:
-    """Return the share a sound target keeps when both probers call it unhealthy."""
+    """Return the share of new flows of a healthy target reported as unhealthy.
+
+    Both probers get the false report from its health endpoint.
+    """
     fleet = Fleet.from_snapshot(6, probed_snapshot(), f"lying {SEED}")
     fleet.lifetime = 10.0
     fleet.run(40.0, {SERVICE_IP: FAILURE_RATE})
     fleet.misreporting.add("target-0")
-    # Its share is lower at first, until its older flows have ended.
+    # The share is lower until the flows opened before the false report have ended.
     fleet.run(3 * fleet.lifetime, {SERVICE_IP: FAILURE_RATE})
-    before = fleet.syn_counts["target-0"]
+    syns_before = fleet.syn_counts["target-0"]
     fleet.run(FAILURE_TIME, {SERVICE_IP: FAILURE_RATE})
     mean = FAILURE_RATE * FAILURE_TIME / 7
-    share = (fleet.syn_counts["target-0"] - before) / mean
+    share = (fleet.syn_counts["target-0"] - syns_before) / mean
     name = "sound target, its endpoint says unhealthy: its share of new flows"
     return Result.at_least(
         name, share, "of a fair share", FALSE_REPORT_BOUND, seed=SEED, command=COMMAND
@@ -248,7 +271,7 @@
 
 
 def overload_rows() -> list[Result]:
-    """Return the refused share when more is offered than targets may hold."""
+    """Return the share of refused openings at loads around the targets' capacity."""
     rows = []
     for factor in (0.9, 1.0, 1.5, 2.0):
         targets = tuple(
@@ -258,28 +281,35 @@
         fleet.lifetime = 10.0
         rate = {SERVICE_IP: 70.0 * factor}
         fleet.run(40.0, rate)
-        asked, refused = fleet.requested[SERVICE_IP], fleet.refused[SERVICE_IP]
-        most = 0
+        requested, refused = fleet.requested[SERVICE_IP], fleet.refused[SERVICE_IP]
+        max_flows = 0
         for _ in range(30):
             fleet.run(1.0, rate)
-            most = max(most, *fleet.target_flows.values())
+            max_flows = max(max_flows, *fleet.target_flows.values())
         share = (fleet.refused[SERVICE_IP] - refused) / (
-            fleet.requested[SERVICE_IP] - asked
+            fleet.requested[SERVICE_IP] - requested
         )
-        least = erlang_loss(70.0 * factor * fleet.lifetime, 700)
+        blocking = erlang_loss(70.0 * factor * fleet.lifetime, 700)
         rows.append(
-            make_result(f"refused at load {factor}", share, "of openings", least)
+            make_result(f"refused at load {factor}", share, "of openings", blocking)
         )
         rows.append(
             make_result(
-                f"most flows on a target at load {factor}", most, "flows", None, 100
+                f"most flows on a target at load {factor}",
+                max_flows,
+                "flows",
+                None,
+                100,
             )
         )
     return rows
 
 
 def erlang_loss(load: float, servers: int) -> float:
-    """Return the refused share if one place knew every target's free room."""
+    """Return the blocking probability of the Erlang B formula.
+
+    It is the share of refusals if one place knew the free capacity of all targets.
+    """
     loss = 1.0
     for count in range(1, servers + 1):
         loss = load * loss / (count + load * loss)
@@ -287,7 +317,7 @@
 
 
 def flood_row() -> Result:
-    """Return what a calm account gets admitted while another floods."""
+    """Return an account's admitted share while another is at ten times its limit."""
     limits = AccountLimits(new_per_second=100.0)
     accounts = [
         replace(make_snapshot(1, targets).accounts[0], limits=limits)
@@ -318,7 +348,7 @@
 
 
 def idle_rows() -> list[Result]:
-    """Return what idle accounts cost in memory, messages and rows visited."""
+    """Return the cost of idle accounts: memory, control traffic, rows visited."""
     accounts = tuple(idle_account(index) for index in range(IDLE_ACCOUNTS))
     core = Balancer.from_config(make_host(0), [make_host(1)])
     gc.collect()
@@ -352,7 +382,7 @@
 
 
 def idle_account(index: int) -> Account:
-    """Return an account that nobody uses."""
+    """Return an account with one address and three targets, without flows."""
     account_id = f"account-{index}"
     address = ServiceAddress(f"10.9.{index >> 8}.{index & 255}", 443, Protocol.TCP)
     targets = tuple(
@@ -374,6 +404,6 @@
     baseline: float | None = None,
     bound: float | None = None,
 ) -> Result:
-    """Return a figure, with a greatest value if it has a bound."""
+    """Return a result row; the bound, if any, is an upper one."""
     held = bound is None or value <= bound
     return Result(name, value, unit, baseline, bound, held, SEED, COMMAND)
--- a/tests/test_benchmarks/test_health_figures.py
+++ b/tests/test_benchmarks/test_health_figures.py
@@ -1,4 +1,4 @@
-"""Regression bounds on what failing targets, a flood and idle accounts cost."""
+"""Regression bounds on failing targets, an overloading account and idle accounts."""
 
 from __future__ import annotations
 
