--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,4 +1,4 @@
-"""Packets a second through one host process on loopback, beside a bare forwarder."""
+"""Packet rate of one host process on loopback, compared with a bare forwarder."""
 
 from __future__ import annotations
 
@@ -41,22 +41,22 @@
 FLOWS = 1000
 PAYLOAD = bytes(200)
 
-#: Seconds counted of each run, after the warm-up; runs of which the best counts, as
-#: others that use the machine only ever take away from one.
+#: Measured seconds of each run, warm-up before it, and number of runs. The figure is
+#: the best run, because other load on the machine can only lower the rate.
 DURATION = 1.0
 WARM_UP = 0.3
 REPEATS = 4
 
-#: Seconds a process has to start.
+#: Time in which a process must start, seconds.
 START_TIMEOUT = 10.0
 
-#: Least ratio to the bare forwarder.
+#: Smallest ratio to the rate of the bare forwarder.
 BOUND = 0.4
 
 
 @dataclass(frozen=True, slots=True)
 class RunEndpoints:
-    """The sockets of a run."""
+    """Socket addresses of a run."""
 
     host: Endpoint
     gateway: Endpoint
@@ -64,25 +64,25 @@
 
     @classmethod
     def from_kernel(cls) -> RunEndpoints:
-        """Return ports that are free now."""
+        """Return addresses whose ports are free at the moment."""
         ips = (HOST_IP, GATEWAY_IP, TARGET_IP)
         return cls(*(Endpoint(ip, free_port(ip)) for ip in ips))
 
 
 def free_port(ip: str) -> int:
-    """Return a UDP port that nobody has now."""
+    """Return a UDP port that is free at the moment."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind((ip, 0))
         return sock.getsockname()[1]
 
 
 class StaticConfiguration:
-    """A configuration that never changes.
+    """Configuration source that never changes.
 
     Parameters
     ----------
     snapshot : Snapshot
-        The configuration.
+        The configuration that all reads return.
     """
 
     def __init__(self, snapshot: Snapshot) -> None:
@@ -95,22 +95,22 @@
     async def read_records(
         self, after_revision: int
     ) -> tuple[ChangeRecord, ...] | None:
-        """Return that there is nothing new."""
+        """Return no records, as nothing changes."""
         return ()
 
     async def watch_head(self, after_revision: int) -> int:
-        """Wait for ever."""
+        """Wait forever, as nothing changes."""
         await anyio.sleep_forever()
         raise AssertionError
 
     async def confirm_zone(self, zone: str, revision: int) -> int:
-        """Confirm at once."""
+        """Return the revision as confirmed."""
         return revision
 
 
-def run_host(ends: RunEndpoints) -> None:
-    """Run a host process that forwards to the target."""
-    target = Target("target-0", ACCOUNT_ID, ends.target, ZONE)
+def run_host(endpoints: RunEndpoints) -> None:
+    """Run a host that forwards to the target; the main function of a process."""
+    target = Target("target-0", ACCOUNT_ID, endpoints.target, ZONE)
     address = ServiceAddress(SERVICE_IP, SERVICE_PORT, Protocol.TCP)
     account = Account(ACCOUNT_ID, (address,), (target,), (ZONE,))
     ports = [free_port(HOST_IP) for _ in range(2)]
@@ -118,28 +118,28 @@
         id="host-0",
         zone=ZONE,
         group="entry",
-        tunnel=ends.host,
+        tunnel=endpoints.host,
         relay=Endpoint(HOST_IP, ports[0]),
         control=Endpoint(HOST_IP, ports[1]),
     )
     settings = Settings(
         host=section,
-        fabric=FabricSection(gateway=ends.gateway),
+        fabric=FabricSection(gateway=endpoints.gateway),
         platform=PlatformSection(url="http://127.0.0.1:1", zones=(ZONE,)),
     )
     source = StaticConfiguration(Snapshot(1, (account,)))
     anyio.run(HostDaemon.from_settings(settings, source).run)
 
 
-def run_forwarder(ends: RunEndpoints) -> None:
-    """Forward every datagram to the target, without looking at it."""
-    anyio.run(forward_forever, ends)
+def run_forwarder(endpoints: RunEndpoints) -> None:
+    """Run a bare forwarder, which does not parse datagrams."""
+    anyio.run(forward_forever, endpoints)
 
 
-async def forward_forever(ends: RunEndpoints) -> None:
-    """Read datagrams in batches, as a host does, and send each on."""
-    sock = bind_udp(ends.host)
-    destination = (ends.target.ip, ends.target.port)
+async def forward_forever(endpoints: RunEndpoints) -> None:
+    """Read datagrams in batches, as a host does, and send each to the target."""
+    sock = bind_udp(endpoints.host)
+    destination = (endpoints.target.ip, endpoints.target.port)
     while True:
         await anyio.wait_readable(sock)
         for _ in range(BATCH):
@@ -150,33 +150,33 @@
             sock.sendto(datagram, destination)
 
 
-def run_sender(ends: RunEndpoints) -> None:
-    """Send callers' packets of established flows for ever, as fast as it goes."""
+def run_sender(endpoints: RunEndpoints) -> None:
+    """Send caller packets of established flows forever, as fast as possible."""
     datagrams = [tunnelled_packet(number, from_caller=True) for number in range(FLOWS)]
-    destination = (ends.host.ip, ends.host.port)
+    destination = (endpoints.host.ip, endpoints.host.port)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-        sock.bind((ends.gateway.ip, ends.gateway.port))
+        sock.bind((endpoints.gateway.ip, endpoints.gateway.port))
         while True:
             for datagram in datagrams:
                 sock.sendto(datagram, destination)
 
 
 def tunnelled_packet(number: int, from_caller: bool) -> bytes:
-    """Return a tunnelled data segment of a numbered flow."""
+    """Return a tunnelled data segment of flow `number`."""
     flow = numbered_flow(number)
     return encapsulate(encode_tcp(flow, from_caller, ACK, 1, 1, PAYLOAD))
 
 
 def measure(forward: Callable[[RunEndpoints], None]) -> float:
-    """Return the packets a second that reach the target."""
-    ends = RunEndpoints.from_kernel()
-    target = bind_udp(ends.target)
+    """Return the packets per second that reach the target."""
+    endpoints = RunEndpoints.from_kernel()
+    target = bind_udp(endpoints.target)
     target.settimeout(0.05)
-    forwarder = multiprocessing.Process(target=forward, args=(ends,), daemon=True)
-    sender = multiprocessing.Process(target=run_sender, args=(ends,), daemon=True)
+    forwarder = multiprocessing.Process(target=forward, args=(endpoints,), daemon=True)
+    sender = multiprocessing.Process(target=run_sender, args=(endpoints,), daemon=True)
     forwarder.start()
     try:
-        establish(target, ends)
+        establish(target, endpoints)
         sender.start()
         count_datagrams(target, WARM_UP)
         return count_datagrams(target, DURATION) / DURATION
@@ -187,19 +187,19 @@
 
 
 def stop(process: BaseProcess) -> None:
-    """End a process, if it was started."""
+    """Kill a process if it was started, and wait for its end."""
     if process.pid is not None:
         process.kill()
         process.join()
 
 
-def establish(target: socket.socket, ends: RunEndpoints) -> None:
-    """Have the host learn every flow from an answer, once it listens."""
+def establish(target: socket.socket, endpoints: RunEndpoints) -> None:
+    """Wait until the host forwards; establish all flows with packets of the target."""
     probe = tunnelled_packet(0, from_caller=True)
-    destination = (ends.host.ip, ends.host.port)
+    destination = (endpoints.host.ip, endpoints.host.port)
     deadline = time.monotonic() + START_TIMEOUT
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as gateway:
-        gateway.bind((ends.gateway.ip, ends.gateway.port))
+        gateway.bind((endpoints.gateway.ip, endpoints.gateway.port))
         for number in range(FLOWS):
             target.sendto(tunnelled_packet(number, from_caller=False), destination)
         while time.monotonic() < deadline:
@@ -215,7 +215,7 @@
 
 
 def count_datagrams(target: socket.socket, seconds: float) -> int:
-    """Return how many datagrams arrive in so many seconds."""
+    """Return the number of datagrams that arrive within a time in seconds."""
     count = 0
     deadline = time.monotonic() + seconds
     buffer = bytearray(MAX_DATAGRAM)
@@ -229,21 +229,25 @@
 
 
 def run() -> list[Result]:
-    """Measure both, in turns."""
-    hosts, bare = [], []
+    """Measure host and bare forwarder alternately."""
+    host_rates, bare_rates = [], []
     for _ in range(REPEATS):
-        bare.append(measure(run_forwarder))
-        hosts.append(measure(run_host))
-    ours, theirs = max(hosts), max(bare)
+        bare_rates.append(measure(run_forwarder))
+        host_rates.append(measure(run_host))
+    host_rate, bare_rate = max(host_rates), max(bare_rates)
     return [
         Result(
             "throughput.packets_per_second",
-            round(ours),
+            round(host_rate),
             "packets/s",
-            round(theirs),
+            round(bare_rate),
             command=COMMAND,
         ),
         Result.at_least(
-            "throughput.ratio", round(ours / theirs, 3), "ratio", BOUND, command=COMMAND
+            "throughput.ratio",
+            round(host_rate / bare_rate, 3),
+            "ratio",
+            BOUND,
+            command=COMMAND,
         ),
     ]
--- a/benchmarks/tokens.py
+++ b/benchmarks/tokens.py
@@ -1,4 +1,7 @@
-"""The token mode: what a packet and an opening cost, beside owner, hash and nothing."""
+"""Time per packet and per opening, and memory of a flow, in the token mode.
+
+The baselines are the first mode, hash only and a bare forwarder.
+"""
 
 from __future__ import annotations
 
@@ -34,19 +37,20 @@
 ROUTE = route_key(ADDRESS, 443)
 TARGETS = 7
 
-#: Packets timed in one repeat, and repeats of which the median counts.
+#: Packets timed in one repeat, and number of repeats. The figure is their median.
 PACKETS = 1000
 REPEATS = 25
 
-#: Most times the cost of a packet of an established flow under the hash alone.
+#: Largest ratio of the time per packet of an established flow to that of hash only.
 PACKET_BOUND = 4.0
 
-#: Least share of the packets a second of a bare forwarder.
+#: Smallest ratio of the packet rate to that of a bare forwarder.
 FORWARD_BOUND = 0.4
 
-#: Targets of one service at which an opening is timed.
+#: Numbers of targets of a service at which an opening is timed.
 SERVICE_SIZES = (7, 70, 700)
 
+#: Number of flows at which memory is measured, and its bound in bytes per flow.
 MEMORY_FLOWS = 40_000
 BYTES_BOUND = 620.0
 
@@ -54,7 +58,7 @@
 
 
 def make_core(targets: int = TARGETS, port: int = 9) -> TokenBalancer:
-    """Return a core that knows one route and its targets."""
+    """Return a core with one route and a number of targets at one UDP port."""
     core = TokenBalancer.from_config("host", "north", ReaderTimes.from_bounds(3, 4))
     core.tables.reader.call_at = 0.0
     entries: list[Configuration | Target] = [
@@ -70,12 +74,12 @@
 
 
 def opening_packet(number: int) -> Packet:
-    """Return the opening of a numbered flow."""
+    """Return the SYN of flow `number`."""
     return Packet(number.to_bytes(12, "big"), ROUTE, SYN, 0, 1000, 0, 0)
 
 
 def data_packet(number: int) -> Packet:
-    """Return a packet with data of a numbered flow."""
+    """Return a data packet of flow `number`."""
     token = number % TARGETS + 1
     return Packet(number.to_bytes(12, "big"), ROUTE, ACK, token, 1001, 5, 0)
 
@@ -83,7 +87,7 @@
 def time_calls(
     receive: Callable[[Packet, float], object], packets: list[Packet]
 ) -> float:
-    """Return the microseconds that a packet takes, on the average."""
+    """Return the mean time per packet in microseconds."""
     gc.disable()
     began = time.perf_counter()
     for packet in packets:
@@ -94,7 +98,7 @@
 
 
 def measure_packets() -> float:
-    """Return the median microseconds of a packet of an established flow."""
+    """Return the median time per packet of established flows in microseconds."""
     core = make_core()
     packets = [data_packet(number) for number in range(PACKETS)]
     time_calls(core.receive, packets)
@@ -102,7 +106,7 @@
 
 
 def measure_openings(targets: int) -> float:
-    """Return the median microseconds of an opening among so many targets."""
+    """Return the median time per opening at a number of targets, in microseconds."""
     core = make_core(targets)
     times = []
     for _ in range(REPEATS):
@@ -115,7 +119,7 @@
 
 
 def measure_bytes() -> float:
-    """Return the bytes that the row of a flow takes up, on the average."""
+    """Return the mean memory of a flow in bytes."""
     core = make_core()
     gc.collect()
     tracemalloc.start()
@@ -135,14 +139,17 @@
 
 
 def free_endpoint(kind: int) -> Endpoint:
-    """Return an endpoint that nobody has now."""
+    """Return a loopback endpoint whose port is free at the moment."""
     with socket.socket(socket.AF_INET, kind) as sock:
         sock.bind((LOOPBACK, 0))
         return Endpoint(*sock.getsockname())
 
 
 def bare_forwarder(sock: socket.socket, sink: tuple[str, int]) -> Callable[[], None]:
-    """Return a function that reads and sends on what waits, in the same batches."""
+    """Return a function that forwards one batch of datagrams to a sink unread.
+
+    The batches are as large as those of a host.
+    """
 
     def forward() -> None:
         for _ in range(BATCH):
@@ -158,7 +165,7 @@
 def time_batch(
     forward: Callable[[], object], sender: socket.socket, target: tuple[str, int]
 ) -> float:
-    """Return the microseconds a packet of one batch that waits to be read."""
+    """Return the time per packet in microseconds to forward one queued batch."""
     head = HEADER.pack(1001, 5, 2, 1, 443, 4001, 0x64400007, ADDRESS, 0, 200)
     data = head + bytes(200)
     for _ in range(BATCH):
@@ -169,7 +176,7 @@
 
 
 def discard_datagrams(sock: socket.socket) -> None:
-    """Read a socket empty."""
+    """Discard all datagrams that are queued on a socket."""
     while True:
         try:
             sock.recv(2048)
@@ -178,7 +185,7 @@
 
 
 def measure_forwarding() -> tuple[float, float]:
-    """Return microseconds a packet: through a host's process loop, and bare."""
+    """Return the median time per packet in microseconds: host, bare forwarder."""
     with bind_udp_socket() as sink, bind_udp_socket() as bare:
         settings = HostSettings(
             host_id="host",
@@ -198,27 +205,27 @@
         host = TokenHost(settings, PLATFORM_ADAPTER)
         host.core = make_core(TARGETS, sink.getsockname()[1])
         forward = bare_forwarder(bare, sink.getsockname())
-        ours, theirs = [], []
+        host_times, bare_times = [], []
         with bind_udp_socket() as sender:
-            # By turns, so that both meet the machine in the same state.
+            # Alternate, so that both run under the same load of the machine.
             for _ in range(40 * REPEATS):
-                ours.append(
+                host_times.append(
                     time_batch(lambda: host.read_packets(1), sender, settings.packets)
                 )
-                theirs.append(time_batch(forward, sender, bare.getsockname()))
+                bare_times.append(time_batch(forward, sender, bare.getsockname()))
                 discard_datagrams(sink)
         host.packets.close()
         host.server.listener.close()
         host.peer_endpoint.listener.close()
-    return statistics.median(ours), statistics.median(theirs)
+    return statistics.median(host_times), statistics.median(bare_times)
 
 
 def run() -> list[Result]:
-    """Measure everything, one after the other, alone."""
+    """Measure one figure after another, so that none distorts the others."""
     [costs] = run_jobs(call, [measure_costs])
     [packets] = run_jobs(call, [measure_packets])
     openings = run_jobs(measure_openings, SERVICE_SIZES)
-    [(ours, bare)] = run_jobs(call, [measure_forwarding])
+    [(host_times, bare)] = run_jobs(call, [measure_forwarding])
     [size] = run_jobs(call, [measure_bytes])
     rows = [
         Result("tokens.packet", packets, "us", costs["established"], command=COMMAND),
@@ -231,10 +238,10 @@
         ),
         Result("tokens.opening", openings[0], "us", costs["new"], command=COMMAND),
         Result("tokens.opening_hash", costs["hash_new"], "us", command=COMMAND),
-        Result("tokens.forwarded_packet", ours, "us", bare, command=COMMAND),
+        Result("tokens.forwarded_packet", host_times, "us", bare, command=COMMAND),
         Result.at_least(
             "tokens.forwarded_over_bare",
-            bare / ours,
+            bare / host_times,
             "ratio",
             FORWARD_BOUND,
             command=COMMAND,
@@ -251,5 +258,5 @@
 
 
 def call(function: Callable[[], object]) -> object:
-    """Return what a function returns, in a process of its own."""
+    """Call a function; the job for a worker process of `run_jobs`."""
     return function()
