--- a/benchmarks/relays.py
+++ b/benchmarks/relays.py
@@ -1,4 +1,4 @@
-"""Fraction of packets relayed between hosts, with and without hints, for long flows."""
+"""Relays per packet between hosts, with and without hints, for long flows."""
 
 from __future__ import annotations
 
