--- a/citronspring/emulator/answer_sizes.py
+++ b/citronspring/emulator/answer_sizes.py
@@ -1,4 +1,4 @@
-"""Sizes of the store's answers, which decide how long a link needs for them."""
+"""Sizes of the store's answers, from which download times follow."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 if TYPE_CHECKING:
     from citronspring.tokens.messages import StoreAnswer
 
-#: Bytes of a route in the store's answer: 700 KB for 2,845 routes, as seen on a large
-#: deployment.
+#: Bytes of a route in the store's answer: a large deployment has 700 KB for 2,845
+#: routes.
 ROUTE_BYTES = 246
 
 #: Bytes of a target's entry, and of any other entry or removal.
 TARGET_BYTES = 400
 ENTRY_BYTES = 150
 
-#: Bytes of an answer beside its entries.
+#: Bytes of an answer apart from its entries.
 HEADER_BYTES = 200
 
 
 def answer_bytes(answer: StoreAnswer) -> int:
-    """Return how large an answer of the store is on the wire."""
+    """Return the size in bytes of an answer of the store on the wire."""
     match answer:
         case Page():
             entries: tuple[object, ...] = answer.entries
@@ -35,7 +35,7 @@
 
 
 def entry_bytes(entry: object) -> int:
-    """Return how large an entry or a removal is on the wire."""
+    """Return the size in bytes of an entry or a removal on the wire."""
     match entry:
         case Configuration():
             return ENTRY_BYTES + ROUTE_BYTES * len(entry.routes)
--- a/citronspring/emulator/callers.py
+++ b/citronspring/emulator/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they open flows, send requests, retransmit, and try again."""
+"""Emulated callers, which open flows, send requests, retransmit and retry."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
     from citronspring.emulator.routers import Routers
     from citronspring.emulator.targets import Reply
 
-#: Seconds after an opening at which a caller sends it again, and gives up.
+#: Seconds after an opening at which a caller retransmits it.
 OPENING_RETRANSMIT_TIMES = (0.2, 0.6)
 OPENING_TIMEOUT = 1.4
 
-#: Seconds until unacknowledged bytes are sent again; doubled each time.
+#: Seconds until unacknowledged bytes are retransmitted, doubled each time up to the
+#: maximum.
 RETRANSMIT_SECONDS = 0.2
 MAX_RETRANSMIT_SECONDS = 1.6
 
-#: Further tries of a request.
+#: Attempts of a request after the first one.
 MAX_RETRIES = 2
 
-#: Bytes of every request.
+#: Payload bytes of every request.
 REQUEST_BYTES = 200
 
-#: Seconds between two requests of a stream.
+#: Mean seconds between two requests of a stream, from an answer to the next request.
 MEAN_REQUEST_GAP = 0.5
 
 SEQ_MASK = 0xFFFFFFFF
@@ -36,7 +37,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request, over all its tries."""
+    """A request, across all its attempts."""
 
     number: int
     started_at: float
@@ -50,7 +51,7 @@
 
 @dataclass(slots=True, eq=False)
 class EmulatedCaller:
-    """One flow of a caller; a further try is a new flow from a new port."""
+    """A caller with one flow at a time; a retry opens a new flow from a new port."""
 
     clock: Clock
     routers: Routers
@@ -59,7 +60,7 @@
     route: int
     idempotent: bool
     deadline_seconds: float
-    #: Requests still to be sent over this flow.
+    #: Requests that this caller has yet to start.
     requests_left: int
     port: int
     state: str = "closed"
@@ -72,7 +73,7 @@
     bound_to: int | None = None
 
     def start(self, request: Request | None = None) -> None:
-        """Open a flow for a request."""
+        """Open a flow for a request, by default for a new one."""
         self.request = request or self.create_request()
         self.request.attempts += 1
         self.state = "opening"
@@ -89,7 +90,7 @@
         self.clock.at(request_now.deadline, lambda: self.expire_request(request_now))
 
     def create_request(self) -> Request:
-        """Make the next request of this caller."""
+        """Create the next request of this caller."""
         self.requests_left -= 1
         now = self.clock.now
         return self.checker.new_request(
@@ -97,29 +98,29 @@
         )
 
     def send(self, flags: int, length: int = 0, seq: int | None = None) -> None:
-        """Send a packet to the host that routers choose."""
+        """Send a packet to the host that the routers choose."""
         seq = self.seq if seq is None else seq
         packet = Packet(self.flow, self.route, flags, self.token, seq, self.ack, length)
         self.routers.forward(self.zone, packet, self)
 
     def retransmit_opening(self, flow: bytes) -> None:
-        """Send the opening again if it is not answered."""
+        """Retransmit the opening if it is unanswered."""
         if self.flow == flow and self.state == "opening":
             self.send(SYN)
 
     def time_out_opening(self, flow: bytes) -> None:
-        """End an attempt whose opening was never answered; nothing has run."""
+        """End an attempt whose opening is unanswered; the request has not run."""
         if self.flow == flow and self.state == "opening":
             self.end_attempt(may_have_run=False)
 
     def expire_request(self, request: Request) -> None:
-        """Give a request up at its deadline."""
+        """Fail a request that is unanswered at its deadline."""
         if self.request is request and request.answered_at is None:
             request.failed = True
             self.close_flow()
 
     def receive(self, reply: Reply) -> None:
-        """Take a packet of a target, or a reset."""
+        """Handle a packet from a target, or a reset from a host."""
         if self.state == "closed" or reply.flow != self.flow:
             return
         if reply.flags & RST:
@@ -130,13 +131,13 @@
             self.handle_data(reply)
 
     def handle_reset(self, reply: Reply) -> None:
-        """End the try that was reset."""
+        """End the attempt that was reset."""
         opening = self.state == "opening"
         self.checker.caller_reset(self, reply)
         self.end_attempt(may_have_run=not opening)
 
     def handle_opening_answer(self, reply: Reply) -> None:
-        """Confirm the first answer to the opening; any answer changes the token."""
+        """Acknowledge the first answer to the opening; any answer updates the token."""
         if reply.ack != (self.seq + 1 & SEQ_MASK) and self.state == "opening":
             return
         self.token = reply.token
@@ -150,7 +151,7 @@
         self.send_request()
 
     def send_request(self) -> None:
-        """Send the request's bytes, and again until they are acknowledged."""
+        """Send the request, and schedule retransmissions until it is acknowledged."""
         start = self.seq
         self.seq = start + REQUEST_BYTES & SEQ_MASK
         self.unacknowledged = start
@@ -161,7 +162,7 @@
         )
 
     def retransmit(self, flow: bytes, start: int, waited: float) -> None:
-        """Send bytes again that nothing has acknowledged."""
+        """Retransmit the request while it is unacknowledged."""
         if self.flow != flow or self.state != "open" or self.unacknowledged != start:
             return
         self.send(ACK, REQUEST_BYTES, start)
@@ -169,7 +170,7 @@
         self.clock.after(wait, lambda: self.retransmit(flow, start, wait))
 
     def handle_data(self, reply: Reply) -> None:
-        """Take an acknowledgement or an answer."""
+        """Handle an acknowledgement or an answer."""
         self.token = reply.token
         if reply.ack == self.seq:
             self.unacknowledged = None
@@ -184,7 +185,7 @@
             self.send(ACK)
 
     def finish_request(self) -> None:
-        """Count the answer, and go on with the next request or close."""
+        """Record the answer, then schedule the next request or close the flow."""
         request = self.request
         assert request is not None
         request.answered_at = self.clock.now
@@ -210,7 +211,7 @@
         self.send_request()
 
     def end_attempt(self, *, may_have_run: bool) -> None:
-        """Try again on a new flow where that is allowed."""
+        """Retry on a new flow if the request is safe to retry and attempts remain."""
         request = self.request
         self.close_flow()
         if request is None or request.answered_at is not None or request.failed:
@@ -222,6 +223,6 @@
             request.failed = True
 
     def close_flow(self) -> None:
-        """Forget the flow."""
+        """Mark the flow as closed."""
         self.state = "closed"
         self.unacknowledged = None
--- a/citronspring/emulator/calls.py
+++ b/citronspring/emulator/calls.py
@@ -1,4 +1,4 @@
-"""Calls of an emulated host that wait for their answers."""
+"""Pending calls of an emulated host."""
 
 from __future__ import annotations
 
@@ -13,29 +13,32 @@
     from citronspring.emulator.hosts import EmulatedHost
     from citronspring.tokens.messages import Action, ElectionAnswer, StoreAnswer
 
-#: Seconds between two turns of a host's process when nothing wakes it.
+#: Seconds between two event-loop iterations of a host's process.
 ITERATION_INTERVAL = 0.01
 
 
 @dataclass(slots=True)
 class PendingCall:
-    """A call under way; it ends once, by its answer or its deadline."""
+    """A pending call; it ends once, with its answer or at its deadline."""
 
     host: EmulatedHost
     boot: int
-    #: Takes the answer at the end of the call.
+    #: Called with the answer when the call ends.
     on_answer: Callable[[Any], list[Action]]
     ended: bool = False
-    #: Whether bytes of the answer arrive; they do without a pause until its end.
+    #: Whether the answer is being downloaded; a download runs to its end without pause.
     receiving: bool = False
 
     def expire(self) -> None:
-        """Give the call up unless its answer is coming in."""
+        """Time the call out unless its answer is being downloaded."""
         if not self.receiving:
             self.answer(Unanswered("no answer in time"))
 
     def answer(self, answer: StoreAnswer | ElectionAnswer) -> None:
-        """Give the core what came back, unless the call has ended."""
+        """Pass the answer to the core, unless the call has ended.
+
+        A frozen host handles it once it runs again.
+        """
         host = self.host
         if self.ended or self.boot != host.boot or host.core is None:
             return
--- a/citronspring/emulator/checker.py
+++ b/citronspring/emulator/checker.py
@@ -1,4 +1,4 @@
-"""Judges a run by what callers, targets and operators see of it."""
+"""Checks a run's guarantees by what callers, targets and operators observe."""
 
 from __future__ import annotations
 
@@ -23,43 +23,43 @@
     from citronspring.tokens.entries import Configuration
     from citronspring.tokens.messages import Log
 
-#: Seconds after a trouble from which promises with a bound hold again.
+#: Settling time: seconds after a disturbance until guarantees with a bound apply.
 SETTLING = 4.0
 
-#: Seconds within which a change of configuration, or a target's leaving, is in force.
+#: Seconds within which hosts apply a new configuration, or the leaving of a target.
 CHANGE_BOUND = 3.0
 
 
 @dataclass(slots=True)
 class Resets:
-    """Resets of open flows by hosts."""
+    """Counts of the resets that hosts sent on open flows."""
 
-    #: Those of flows that a target in reach of the host still held.
+    #: Resets of flows that were still open at a target that the host could reach.
     unjustified: int = 0
-    #: The others: their targets had ended, or were cut off.
+    #: The other resets: the target had ended or was behind a network partition.
     justified: int = 0
 
 
 @dataclass(slots=True)
 class Checker:
-    """Everything that was seen, and the promises that were broken."""
+    """Observations of a run, and the violations of its guarantees."""
 
     clock: Clock
     network: Network
     store: EmulatedStore
-    #: Seconds within which a change is in force, and after a trouble again.
+    #: Seconds within which a change is applied, and the settling time.
     change_bound: float = CHANGE_BOUND
     settling: float = SETTLING
-    #: Callers by flow; they stand for addresses.
+    #: Callers by flow, in place of addresses.
     callers: dict[bytes, EmulatedCaller] = field(default_factory=dict)
     requests: list[Request] = field(default_factory=list)
     #: Target at which each flow is open.
     owners: dict[bytes, EmulatedTarget] = field(default_factory=dict)
-    #: Services that each route was ever sent to.
+    #: Services that each route has ever pointed to.
     services: dict[int, set[str]] = field(default_factory=dict)
     #: Each accepted configuration with the time of its acceptance.
     accepted: list[tuple[float, Configuration]] = field(default_factory=list)
-    #: Highest revision that each process of a host has had in force.
+    #: Highest revision that each process of a host has applied.
     highest_revisions: dict[tuple[str, int], int] = field(default_factory=dict)
     violations: list[str] = field(default_factory=list)
     events: Counter[int] = field(default_factory=Counter)
@@ -72,28 +72,28 @@
     def __post_init__(self) -> None:
         self.zone_checker = ZoneChecker(self)
 
-    def report_violation(self, promise: str, detail: str) -> None:
-        """Note a broken promise."""
-        self.violations.append(f"{self.clock.now:.3f} s {promise}: {detail}")
+    def report_violation(self, guarantee: str, detail: str) -> None:
+        """Record the violation of a guarantee."""
+        self.violations.append(f"{self.clock.now:.3f} s {guarantee}: {detail}")
 
     # Requests --------------------------------------------------------------------
 
     def new_request(
         self, started_at: float, idempotent: bool, deadline: float
     ) -> Request:
-        """Count a request of a caller."""
+        """Create and record a request of a caller."""
         request = Request(len(self.requests), started_at, idempotent, deadline)
         self.requests.append(request)
         return request
 
     def request_answered(self, caller: EmulatedCaller, request: Request) -> None:
-        """Take that a caller got the whole answer to its own request."""
+        """Check that an answer came from the target that the flow is bound to."""
         owner = self.owners.get(caller.flow)
         if owner is not None and owner.incarnation != caller.bound_to:
             self.report_violation("whole answer", f"request {request.number}")
 
     def request_ran(self, target: EmulatedTarget, caller: EmulatedCaller) -> None:
-        """Take that a target began to work on a request."""
+        """Check a request that a target starts: isolation, and at most one run."""
         request = caller.request
         if request is None:
             return
@@ -108,22 +108,22 @@
     # Flows -----------------------------------------------------------------------
 
     def flow_opened(self, target: EmulatedTarget, flow: bytes) -> None:
-        """Take that a flow is open at a target."""
+        """Record that a flow is open at a target."""
         self.owners[flow] = target
 
     def flow_closed(self, target: EmulatedTarget, flow: bytes) -> None:
-        """Take that a flow has ended at its target."""
+        """Record that a flow has ended at its target."""
         self.owners.pop(flow, None)
 
     def live_owner(self, flow: bytes) -> EmulatedTarget | None:
-        """Return the living target at which a flow is open."""
+        """Return the running target at which a flow is open, or None."""
         owner = self.owners.get(flow)
         if owner is None or not owner.alive or flow not in owner.flows:
             return None
         return owner
 
     def caller_reset(self, caller: EmulatedCaller, reply: Reply) -> None:
-        """Take a reset that a caller got; a target may only reset its own flows."""
+        """Check a reset that a caller got; a target may only reset its own flows."""
         owner = self.live_owner(caller.flow)
         if owner is None or reply.sender in (None, owner.incarnation):
             return
@@ -139,17 +139,17 @@
         packet: Packet,
         reason: ResetReason,
     ) -> None:
-        """Take a reset that a host sends."""
+        """Check a reset that a host sends."""
         owner = self.live_owner(packet.flow)
         self.count_reset(host, owner, packet)
         if owner is not None and not caller.idempotent:
             self.report_violation("orders are not reset", f"by {host.host_id}")
-        calm = (
+        undisturbed = (
             owner is not None
             and self.links_undisturbed(owner.zone)
             and self.links_undisturbed(host.zone)
         )
-        if owner is not None and calm and self.settled(owner.disturbed_at):
+        if owner is not None and undisturbed and self.settled(owner.disturbed_at):
             detail = f"{host.host_id} reset one of {owner.target_id}, {reason.value}"
             self.report_violation("flows stay", detail)
         if reason is ResetReason.NO_ROUTE:
@@ -158,7 +158,7 @@
     def count_reset(
         self, host: EmulatedHost, owner: EmulatedTarget | None, packet: Packet
     ) -> None:
-        """Count the reset of an open flow as true or false."""
+        """Count the reset of an open flow as justified or unjustified."""
         if packet.flags & SYN:
             return
         if owner is None or self.network.is_partitioned(host.zone, owner.zone):
@@ -167,10 +167,14 @@
             self.resets.unjustified += 1
 
     def check_missing_route(self, host: EmulatedHost, packet: Packet) -> None:
-        """Judge whether a route was rightly called missing, in touch or not."""
-        long_ago = self.clock.now - self.change_bound
-        old = [found for time, found in self.accepted if time <= long_ago]
-        new = [found for time, found in self.accepted if time > long_ago]
+        """Check that a route reported as missing is missing in a recent configuration.
+
+        This applies to disturbed hosts too: a host that may be behind must not report
+        a route as missing.
+        """
+        bound_start = self.clock.now - self.change_bound
+        old = [found for time, found in self.accepted if time <= bound_start]
+        new = [found for time, found in self.accepted if time > bound_start]
         allowed = [*old[-1:], *new]
         if all(has_route(one, packet.route) for one in allowed):
             self.report_violation(
@@ -180,7 +184,7 @@
     def forwarded(
         self, host: EmulatedHost, target: EmulatedTarget | None, packet: Packet
     ) -> None:
-        """Take that a host sends a packet; a leaving target gets no new flow."""
+        """Check a packet that a host forwards: a leaving target gets no new flow."""
         if target is not None:
             self.zone_checker.forwarded(host, target, packet)
         if target is None or target.leaving_at is None or not packet.flags & SYN:
@@ -193,7 +197,7 @@
     # Hosts -----------------------------------------------------------------------
 
     def check_host(self, host: EmulatedHost, now: float) -> None:
-        """Judge which configuration a host has in force."""
+        """Check the configuration that a host has applied."""
         assert host.core is not None
         revision = host.core.tables.configuration
         key = (host.host_id, host.boot)
@@ -212,30 +216,30 @@
         self.events[log.number] += 1
         self.zone_checker.logged(host, log)
 
-    # Calm ------------------------------------------------------------------------
+    # Disturbances ----------------------------------------------------------------
 
     def settled(self, since: float) -> bool:
-        """Whether a trouble is long enough ago."""
+        """Return whether the settling time has passed since a disturbance."""
         return self.clock.now - since >= self.settling
 
     def links_undisturbed(self, zone: str) -> bool:
-        """Whether the links of a zone were well for long enough."""
+        """Return whether a zone's links are healthy and past their settling time."""
         disturbed_at = self.network.disturbed_at.get(zone, -100.0)
-        well = (
+        healthy = (
             zone not in self.network.partitioned and self.network.loss <= BASELINE_LOSS
         )
-        return well and self.settled(disturbed_at)
+        return healthy and self.settled(disturbed_at)
 
     def host_undisturbed(self, host: EmulatedHost) -> bool:
-        """Whether a host, its links and the store were well for long enough."""
+        """Return whether a host, its links and the store are healthy and settled."""
         store = self.store
-        store_well = (
+        store_healthy = (
             store.outage is None
             and not store.watches_suppressed
             and store.slowness == 1.0
         )
         return (
-            store_well
+            store_healthy
             and self.settled(store.disturbed_at)
             and self.settled(host.disturbed_at)
             and not host.frozen
@@ -245,5 +249,5 @@
 
 
 def has_route(configuration: Configuration, key: int) -> bool:
-    """Whether a configuration has a route."""
+    """Return whether a configuration has a route."""
     return any(route.key == key for route in configuration.routes)
--- a/citronspring/emulator/clock.py
+++ b/citronspring/emulator/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: events run in the order of their times, the same for the same seed."""
+"""Virtual time: runs events in order of time, deterministically for a seed."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class Clock:
-    """Runs functions at virtual times.
+    """Runs scheduled functions at virtual times.
 
     Parameters
     ----------
     seed : int
-        Seed of everything that is drawn.
+        Seed of the random generator that the whole run shares.
     """
 
     def __init__(self, seed: int) -> None:
@@ -26,16 +26,16 @@
         self.count = 0
 
     def at(self, time: float, run: Callable[[], None]) -> None:
-        """Have a function run at a time, or now if that has passed."""
+        """Schedule a function for a time, or for now if that has passed."""
         self.count += 1
         heappush(self.events, (max(time, self.now), self.count, run))
 
     def after(self, seconds: float, run: Callable[[], None]) -> None:
-        """Have a function run after some seconds."""
+        """Schedule a function to run after some seconds."""
         self.at(self.now + seconds, run)
 
     def run_until(self, end: float) -> None:
-        """Run everything up to a time."""
+        """Run all events up to a time."""
         while self.events and self.events[0][0] <= end:
             self.now, _, run = heappop(self.events)
             run()
--- a/citronspring/emulator/faults.py
+++ b/citronspring/emulator/faults.py
@@ -1,4 +1,4 @@
-"""Faults that are drawn from a seed and befall a world."""
+"""Faults that are chosen by the seed and injected into a run."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
     from citronspring.emulator.targets import EmulatedTarget
     from citronspring.emulator.world import World
 
-#: Seconds of traffic before the first fault, and without one at the end.
+#: Seconds of traffic without faults, at the start and at the end.
 FAULT_FREE_START = 3.0
 FAULT_FREE_END = 6.0
 
-#: Faults of a run, at least and at most.
+#: Minimum and maximum number of faults in a run.
 FAULT_COUNT = (2, 6)
 
-#: Routes by which a configuration grows, and the most without traffic: 1 MB as the
-#: store answers with it.
+#: Routes that one fault adds to the configuration, and the maximum of routes without
+#: traffic: 1 MB in an answer of the store.
 ADDED_ROUTES = 2000
 MAX_IDLE_ROUTES = 4000
 
-#: Changes in a row, and the seconds between them.
+#: Configuration changes in quick succession, and the seconds between them.
 STORM_CHANGES = 20
 STORM_GAP = 0.1
 
-#: Share of datagrams that a bad link loses.
+#: Share of datagrams that a lossy link drops.
 HIGH_LOSS = 0.03
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault of a run."""
+    """A scheduled fault."""
 
     at: float
     kind: str
@@ -48,7 +48,7 @@
 
 
 def schedule_faults(world: World, kinds: dict[str, FaultAction]) -> list[Fault]:
-    """Draw the faults of a run from some kinds, and plan them."""
+    """Choose random faults of the given kinds and schedule them."""
     rng = world.clock.rng
     last = TRAFFIC_START + world.sizes.seconds - FAULT_FREE_END
     faults = [
@@ -60,13 +60,13 @@
         for _ in range(rng.randint(*FAULT_COUNT))
     ]
     for fault in sorted(faults, key=lambda one: one.at):
-        befall = kinds[fault.kind]
-        world.clock.at(fault.at, lambda f=fault, run=befall: run(world, f))
+        inject = kinds[fault.kind]
+        world.clock.at(fault.at, lambda f=fault, run=inject: run(world, f))
     return sorted(faults, key=lambda one: one.at)
 
 
 def active_targets(world: World) -> list[EmulatedTarget]:
-    """Return the targets that are up and stay."""
+    """Return the targets that run and are not leaving."""
     return [
         target
         for target in world.targets.values()
@@ -75,12 +75,12 @@
 
 
 def pick_host(world: World) -> EmulatedHost:
-    """Draw a host."""
+    """Return a random host."""
     return world.clock.rng.choice(world.hosts)
 
 
 def crash_target(world: World, fault: Fault) -> None:
-    """A target ends without a word; its entry goes after three heartbeats."""
+    """Crash a target; its entry is removed after three missed heartbeats."""
     target = world.clock.rng.choice(active_targets(world))
     target.crash()
     world.clock.after(3.6, lambda: world.store.remove_target(target))
@@ -90,79 +90,79 @@
 
 
 def replace_targets(world: World, fault: Fault) -> None:
-    """A release: two targets leave one after the other, new ones take over."""
+    """Release a service: replace two targets one after the other."""
     rng: Random = world.clock.rng
     for number, target in enumerate(rng.sample(active_targets(world), 2)):
         world.clock.after(number * 0.8, lambda one=target: world.replace_target(one))
 
 
 def slow_target(world: World, fault: Fault) -> None:
-    """A target works ten times slower for a while."""
+    """Make a target ten times slower for a while."""
     target = world.clock.rng.choice(active_targets(world))
     target.slowness = 10.0
     world.clock.after(fault.seconds, lambda: setattr(target, "slowness", 1.0))
 
 
 def kill_host(world: World, fault: Fault) -> None:
-    """A host's process is killed and starts again."""
+    """Kill a host's process and start it again later."""
     host = pick_host(world)
     host.kill()
     world.clock.after(fault.seconds, lambda: restart_host(host))
 
 
 def restart_host(host: EmulatedHost) -> None:
-    """Start a host's process unless something else has."""
+    """Start a host's process unless it runs already."""
     if host.core is None:
         host.start()
 
 
 def kill_all_hosts(world: World, fault: Fault) -> None:
-    """All processes are killed at once."""
+    """Kill the processes of all hosts at once and start them again."""
     for host in world.hosts:
         host.kill()
         world.clock.after(0.8, lambda one=host: restart_host(one))
 
 
 def freeze_host(world: World, fault: Fault) -> None:
-    """A host stands still, then goes on with what it knew."""
+    """Freeze a host's process; it resumes with its old state."""
     host = pick_host(world)
     host.freeze()
     world.clock.after(fault.seconds, host.resume)
 
 
 def stop_host(world: World, fault: Fault) -> None:
-    """An operator stops a host in order; it starts again."""
+    """Stop a host gracefully; it starts again."""
     pick_host(world).stop()
 
 
 def cut_zone(world: World, fault: Fault) -> None:
-    """A zone is cut off from the others; callers still reach it."""
+    """Partition a zone from the others; callers still reach it."""
     zone = world.clock.rng.choice(ZONES)
     world.network.partition(zone)
     world.clock.after(fault.seconds, lambda: world.network.heal(zone))
 
 
 def lose_datagrams(world: World, fault: Fault) -> None:
-    """Links lose more datagrams than usual."""
+    """Raise the loss rate of all links for a while."""
     network = world.network
     network.loss = HIGH_LOSS
     world.clock.after(fault.seconds, lambda: restore_baseline_loss(world))
 
 
 def restore_baseline_loss(world: World) -> None:
-    """Links are well again."""
+    """Set the loss rate back to the baseline."""
     world.network.loss = BASELINE_LOSS
     for zone in ZONES:
         world.network.disturbed_at[zone] = world.clock.now
 
 
 def silence_store(world: World, fault: Fault) -> None:
-    """The store takes calls and answers none."""
+    """Make the store unresponsive: it accepts calls and answers none."""
     begin_store_outage(world, fault, Outage.UNRESPONSIVE, frozenset())
 
 
 def refuse_hosts(world: World, fault: Fault) -> None:
-    """The store turns some hosts away and serves the others."""
+    """Make the store fail for two hosts and serve the others."""
     hosts = world.clock.rng.sample(world.hosts, 2)
     ids = frozenset(host.host_id for host in hosts)
     kind = world.clock.rng.choice(list(Outage))
@@ -170,29 +170,29 @@
 
 
 def begin_store_outage(
-    world: World, fault: Fault, trouble: Outage, hosts: frozenset[str]
+    world: World, fault: Fault, outage: Outage, hosts: frozenset[str]
 ) -> None:
-    """Begin a trouble of the store that ends by itself."""
-    world.store.begin_outage(trouble, hosts)
+    """Begin an outage of the store and schedule its end."""
+    world.store.begin_outage(outage, hosts)
     world.clock.after(fault.seconds, world.store.end_outage)
 
 
 def slow_store(world: World, fault: Fault) -> None:
-    """The store takes fifty times as long."""
+    """Make the store fifty times slower for a while."""
     world.store.slowness = 50.0
     world.store.disturbed_at = world.clock.now
     world.clock.after(fault.seconds, world.store.end_outage)
 
 
 def lose_history(world: World, fault: Fault) -> None:
-    """Watches hear nothing while a change is made; then history is gone."""
+    """Suppress watch notifications while changes are made, then compact the history."""
     world.store.lose_history()
     world.clock.after(0.5, world.change_configuration)
     world.clock.after(0.6, lambda: replace_targets(world, fault))
 
 
 def lapse_entries(world: World, fault: Fault) -> None:
-    """Entries of living targets lapse; the targets register again soon after."""
+    """Expire the entries of four running targets, which register again soon after."""
     store = world.store
     store.disturbed_at = world.clock.now
     for target in world.clock.rng.sample(active_targets(world), 4):
@@ -201,48 +201,48 @@
 
 
 def register_target(world: World, target: EmulatedTarget) -> None:
-    """Have a target that lives put its entry back."""
+    """Write the entry of a running target again."""
     world.store.disturbed_at = world.clock.now
     if target.alive:
         world.store.put_target(target.entry())
 
 
 def change_configuration(world: World, fault: Fault) -> None:
-    """The operators change the configuration three times in a row."""
+    """Change the configuration three times in a row."""
     for number in range(3):
         world.clock.after(number * 0.4, world.change_configuration)
 
 
 def grow_configuration(world: World, fault: Fault) -> None:
-    """The configuration grows by thousands of routes, and changes again soon after."""
+    """Grow the configuration by thousands of routes, and change it again soon after."""
     world.idle_routes = min(world.idle_routes + ADDED_ROUTES, MAX_IDLE_ROUTES)
     world.change_configuration()
     world.clock.after(fault.seconds, world.change_configuration)
 
 
 def storm_configuration(world: World, fault: Fault) -> None:
-    """The operators change the configuration many times in a row."""
+    """Change the configuration many times in quick succession."""
     for number in range(STORM_CHANGES):
         world.clock.after(number * STORM_GAP, world.change_configuration)
 
 
-# Of the host that reads the store for its zone ------------------------------------
+# Faults of zone readers -----------------------------------------------------------
 
 
 def pick_reader(world: World) -> EmulatedHost:
-    """Draw one of the zones' readers, any host if there is none."""
+    """Return a random zone reader, or a random host if there is none."""
     readers = [host for host in world.hosts if is_zone_reader(world, host)]
     return world.clock.rng.choice(readers or world.hosts)
 
 
 def is_zone_reader(world: World, host: EmulatedHost) -> bool:
-    """Whether a host is registered as the reader of its zone."""
+    """Return whether a host is registered as the reader of its zone."""
     entry = world.store.entries.get(reader_key(host.zone))
     return isinstance(entry, ZoneReader) and entry.host_id == host.host_id
 
 
 def kill_reader(world: World, fault: Fault) -> None:
-    """A zone's reader is killed, and its zone hears of a change later."""
+    """Kill a zone reader as a change is made; its zone receives the change late."""
     host = pick_reader(world)
     host.kill()
     world.change_configuration()
@@ -250,7 +250,7 @@
 
 
 def freeze_reader(world: World, fault: Fault) -> None:
-    """A zone's reader stands still as a change is made."""
+    """Freeze a zone reader as a change is made."""
     host = pick_reader(world)
     host.freeze()
     world.change_configuration()
@@ -258,9 +258,9 @@
 
 
 def cut_reader(world: World, fault: Fault) -> None:
-    """A zone's reader alone hears nothing of the store, as changes are made.
+    """Partition a zone reader from the store as changes are made.
 
-    To the other hosts this is no trouble: the bound holds for them all the while.
+    The other hosts count as undisturbed: the bound applies to them throughout.
     """
     host = pick_reader(world)
     world.store.partition(host.host_id)
@@ -271,28 +271,28 @@
 
 
 def reconnect_host(world: World, host: EmulatedHost) -> None:
-    """Let a host reach the store again."""
+    """End the partition between a host and the store."""
     world.store.partitioned_hosts.discard(host.host_id)
     host.disturbed_at = world.clock.now
 
 
 def revoke_reader(world: World, fault: Fault) -> None:
-    """The registration of a zone's reader goes, though its lease runs."""
+    """Remove the registration of a zone reader while its lease is valid."""
     world.store.revoke_reader(world.clock.rng.choice(ZONES))
 
 
-# Of zones, and of targets that start cold ------------------------------------------
+# Faults of zones, and of targets in warm-up -----------------------------------------
 
 
 def drain_zone(world: World, fault: Fault) -> None:
-    """Operators drain a zone, and use it again."""
+    """Drain a zone for a while."""
     zone = world.clock.rng.choice(ZONES)
     world.drain_zone(zone)
     world.clock.after(fault.seconds, lambda: world.end_drain(zone))
 
 
 def drain_again(world: World, fault: Fault) -> None:
-    """Operators drain a zone for less than a second, and once more right after."""
+    """Drain a zone for less than a second, and drain it again right after."""
     zone = world.clock.rng.choice(ZONES)
     world.drain_zone(zone)
     world.clock.after(0.6, lambda: world.end_drain(zone))
@@ -301,7 +301,7 @@
 
 
 def drain_unheard(world: World, fault: Fault) -> None:
-    """A drain ends while watches hear nothing and history is lost."""
+    """End a drain while watch notifications are suppressed and history is lost."""
     zone = world.clock.rng.choice(ZONES)
     world.drain_zone(zone)
     world.clock.after(fault.seconds, world.store.lose_history)
@@ -309,7 +309,7 @@
 
 
 def return_cold(world: World, fault: Fault) -> None:
-    """A zone's targets end without a word; others start in their place, all at once."""
+    """Crash all targets of a zone; their replacements start together, in warm-up."""
     zone = world.clock.rng.choice(ZONES)
     for target in active_targets(world):
         if target.zone == zone:
@@ -321,7 +321,7 @@
 
 
 def release_service(world: World, fault: Fault) -> None:
-    """All targets of the larger service are replaced, a few at a time."""
+    """Replace all targets of the larger service, three at a time."""
     desk = [target for target in active_targets(world) if target.service == "desk"]
     for number, target in enumerate(desk):
         world.clock.after(
@@ -330,21 +330,21 @@
 
 
 def scale_out(world: World, fault: Fault) -> None:
-    """A third more targets of the larger service start in each zone."""
+    """Start a third more targets of the larger service in each zone."""
     for zone in ZONES:
         for _ in range(world.sizes.desk_per_zone // 3):
             world.add_target("desk", zone)
 
 
 def release_target(world: World, target: EmulatedTarget) -> None:
-    """Replace a target that is still there."""
+    """Replace a target that still runs and is not leaving."""
     if target.alive and target.leaving_at is None:
         world.replace_target(target)
 
 
 FaultAction = Callable[["World", Fault], None]
 
-#: What may befall every run.
+#: Kinds of faults of the default runs.
 KINDS: dict[str, FaultAction] = {
     "change-configuration": change_configuration,
     "crash-target": crash_target,
@@ -363,8 +363,8 @@
     "stop-host": stop_host,
 }
 
-#: The same, and what befalls the hosts that read for their zones. Apart, so that the
-#: seeds of the runs above go on meaning what they did.
+#: `KINDS` and the faults of zone readers. A separate table, so that the seeds of runs
+#: with `KINDS` keep choosing the same faults.
 READER_KINDS: dict[str, FaultAction] = {
     **KINDS,
     "cut-reader": cut_reader,
@@ -373,16 +373,16 @@
     "revoke-reader": revoke_reader,
 }
 
-#: The same, and configurations that grow to 700 KB and more. For runs in which answers
-#: of the store take the time that a link needs for them.
+#: `READER_KINDS` and configurations that grow to 700 KB and more, for runs with a
+#: limited download rate.
 LARGE_KINDS: dict[str, FaultAction] = {
     **READER_KINDS,
     "grow-configuration": grow_configuration,
     "storm-configuration": storm_configuration,
 }
 
-#: The same as for readers, and zones that are drained or return with cold targets. For
-#: runs in which targets that start are cold.
+#: `READER_KINDS`, drained zones, and zones that return with targets in warm-up, for
+#: runs in which targets that start need a warm-up.
 ZONE_KINDS: dict[str, FaultAction] = {
     **READER_KINDS,
     "drain-again": drain_again,
--- a/citronspring/emulator/hosts.py
+++ b/citronspring/emulator/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts: the real decision core, with a process around it that can be disturbed."""
+"""Emulated hosts: the real decision core in a process that faults can disturb."""
 
 from __future__ import annotations
 
@@ -46,19 +46,19 @@
         StoreAnswer,
     )
 
-#: Seconds from the start of a process until it serves.
+#: Seconds from the start of a process until it begins to serve.
 START_SECONDS = 0.2
 
-#: Seconds that a stopping process has.
+#: Seconds that a process has for a graceful stop.
 STOP_GRACE_SECONDS = 5.0
 
-#: Datagrams that the kernel keeps for a process that does not read.
+#: Datagrams that the kernel queues for a process that does not read its socket.
 SOCKET_QUEUE_PACKETS = 500
 
 
 @dataclass(slots=True, eq=False)
 class EmulatedHost:
-    """One entry host."""
+    """One host of the load balancer."""
 
     clock: Clock
     network: Network
@@ -69,26 +69,27 @@
     times: ReaderTimes
     targets: dict[int, EmulatedTarget]
     core: TokenBalancer | None = None
-    #: Counts starts, so that what an earlier process began comes to nothing.
+    #: Number of starts; events that an earlier process scheduled are ignored.
     boot: int = 0
     frozen: bool = False
     queue: list[tuple[Packet, EmulatedCaller]] = field(default_factory=list)
     store_call_pending: bool = False
-    #: When the host was last started, stopped, frozen or thawed.
+    #: Time of the last disturbance: a start, kill, freeze, resumption or partition.
     disturbed_at: float = -100.0
     seed: int = 0
-    #: Hosts that it may ask for a copy.
+    #: Hosts that it may ask for a peer snapshot.
     peers: list[EmulatedHost] = field(default_factory=list)
-    #: All hosts by their ids, which stand for addresses.
+    #: All hosts by id, in place of addresses.
     fleet: dict[str, EmulatedHost] = field(default_factory=dict)
     election_call_pending: bool = False
-    #: Its own link, which callers' packets come in by and leave by.
+    #: Its own link in both directions, which callers' packets pass.
     inbound_link: Link = field(default_factory=Link)
-    #: Bytes a second at which answers of the store come in. Apart from the links of
-    #: packets: a connection takes what they leave, and its losses are made up for.
+    #: Bytes a second at which answers of the store are downloaded. Separate from the
+    #: packet links: a TCP connection uses the rest of their capacity and retransmits
+    #: what is lost.
     download_rate: float = math.inf
     outbound_link: Link = field(default_factory=Link)
-    #: Questions of followers that are held, each with what answers it.
+    #: Open polls of followers, each with the function that answers it.
     polls: list[tuple[FeedPoll, Callable[[int, bytes], None]]] = field(
         default_factory=list
     )
@@ -103,7 +104,7 @@
         self.clock.after(START_SECONDS, lambda: self.begin_serving(boot))
 
     def begin_serving(self, boot: int) -> None:
-        """Serve, unless the process was killed while it started."""
+        """Begin to serve, unless the process was killed while it started."""
         if boot != self.boot:
             return
         self.core = TokenBalancer.from_config(
@@ -112,10 +113,10 @@
         if self.download_rate < math.inf:
             self.core.tables.change_log.rate = LINK_SHARE * self.download_rate
         self.core.begin_iteration(self.clock.now)
-        self.turn(boot)
+        self.iterate(boot)
 
     def kill(self) -> None:
-        """End the process at once; all it knew is lost."""
+        """End the process at once; its state is lost."""
         self.core = None
         self.boot += 1
         self.queue.clear()
@@ -123,12 +124,12 @@
         self.disturbed_at = self.clock.now
 
     def freeze(self) -> None:
-        """Stop the process where it stands; packets wait in the kernel."""
+        """Stall the process; packets queue in the kernel."""
         self.frozen = True
         self.disturbed_at = self.clock.now
 
     def resume(self) -> None:
-        """Let the process go on: what waits is read before timers run."""
+        """Resume the process: queued packets are read before timers run."""
         self.frozen = False
         self.disturbed_at = self.clock.now
         if self.core is not None:
@@ -136,23 +137,23 @@
             self.read_queue()
 
     def stop(self) -> None:
-        """Ask the process to stop in order."""
+        """Ask the process to stop gracefully."""
         if self.core is not None and not self.frozen:
             now = self.clock.now
             self.perform(self.core.leave(now + STOP_GRACE_SECONDS, now))
 
     def passes_readiness_probe(self) -> bool:
-        """Whether a router's question for readiness is answered with yes."""
+        """Return whether a router's readiness probe succeeds."""
         return self.core is not None and not self.frozen and self.core.ready
 
     def receive_packet(self, packet: Packet, caller: EmulatedCaller) -> None:
-        """Have a caller's packet come in by the host's link."""
-        self.inbound_link.carry(
+        """Receive a caller's packet through the inbound link."""
+        self.inbound_link.transmit(
             self.clock, packet.length, lambda: self.enqueue(packet, caller)
         )
 
     def enqueue(self, packet: Packet, caller: EmulatedCaller) -> None:
-        """Receive a caller's packet."""
+        """Queue a caller's packet in the kernel, and read it unless frozen."""
         if self.core is None or len(self.queue) >= SOCKET_QUEUE_PACKETS:
             return
         self.queue.append((packet, caller))
@@ -160,11 +161,11 @@
             self.read_queue()
 
     def read_queue(self) -> None:
-        """Decide about the packets that wait, in their order."""
+        """Process the queued packets in order."""
         if self.core is None or not self.core.configured:
             return
-        # As the process does at each opening: what has waited since before there was
-        # a configuration is too old to be placed.
+        # As the real process does at each opening: openings that were queued before the
+        # host had a configuration count as too old to be placed.
         self.core.begin_iteration(self.clock.now)
         waiting, self.queue = self.queue, []
         for packet, caller in waiting:
@@ -173,11 +174,11 @@
 
     @property
     def callers(self) -> dict[bytes, EmulatedCaller]:
-        """Return the callers of all flows; they stand for addresses."""
+        """Return the callers by flow, in place of addresses."""
         return self.checker.callers
 
-    def turn(self, boot: int) -> None:
-        """Run timers and calls to the store, again and again."""
+    def iterate(self, boot: int) -> None:
+        """Run one event-loop iteration and schedule the next."""
         if boot != self.boot or self.core is None:
             return
         now = self.clock.now
@@ -194,10 +195,10 @@
                 self.kill()
                 self.start()
                 return
-        self.clock.after(ITERATION_INTERVAL, lambda: self.turn(boot))
+        self.clock.after(ITERATION_INTERVAL, lambda: self.iterate(boot))
 
     def call_store(self, boot: int) -> None:
-        """Make the next call if none is under way."""
+        """Make the next call to the store, a peer or the reader if none is pending."""
         assert self.core is not None
         if self.store_call_pending:
             return
@@ -208,11 +209,11 @@
         self.store_call_pending = True
         core = self.core
 
-        def take(answer: StoreAnswer) -> list[Action]:
+        def handle_answer(answer: StoreAnswer) -> list[Action]:
             self.store_call_pending = False
             return core.handle_store_answer(call, answer, now, self.clock.now)
 
-        pending = PendingCall(self, boot, take)
+        pending = PendingCall(self, boot, handle_answer)
         match call:
             case ReadPeer():
                 self.read_peer(self.peers[call.turn % len(self.peers)], pending)
@@ -231,7 +232,7 @@
     def download(
         self, found: StoreAnswer, largest: float, pending: PendingCall
     ) -> None:
-        """Have an answer of the store come in by the host's link, or refuse it."""
+        """Download an answer of the store, or abort if it is too large."""
         size = answer_bytes(found)
         if size > largest:
             pending.answer(AnswerTooLarge())
@@ -244,7 +245,7 @@
             pending.answer(found)
 
     def elect(self, boot: int) -> None:
-        """Make the next call for the choice of the zone's reader."""
+        """Make the next call of the zone reader election unless one is pending."""
         assert self.core is not None
         if self.election_call_pending:
             return
@@ -257,11 +258,11 @@
         self.election_call_pending = True
         core = self.core
 
-        def take(answer: ElectionAnswer) -> list[Action]:
+        def handle_answer(answer: ElectionAnswer) -> list[Action]:
             self.election_call_pending = False
             return core.handle_election_answer(call, answer, now, self.clock.now)
 
-        pending = PendingCall(self, boot, take)
+        pending = PendingCall(self, boot, handle_answer)
         self.store.elect(self.host_id, call, pending.answer)
         timeout = Unanswered("no answer in time")
         self.clock.after(CALL_TIMEOUT, lambda: pending.answer(timeout))
@@ -269,11 +270,13 @@
     def poll_reader(
         self, reader: EmulatedHost, call: FollowReader, pending: PendingCall
     ) -> None:
-        """Ask the zone's reader for news."""
+        """Poll the zone reader's change feed."""
 
         def reply(status: int, body: bytes) -> None:
             found = decode_feed(status, body)
-            self.network.carry(reader.zone, self.zone, lambda: pending.answer(found))
+            self.network.send_reliably(
+                reader.zone, self.zone, lambda: pending.answer(found)
+            )
 
         def arrive() -> None:
             if reader.core is None:
@@ -283,10 +286,10 @@
             poll = FeedPoll(call.after_revision, now, now + call.wait, self.host_id)
             reader.polls.append((poll, reply))
 
-        self.network.carry(self.zone, reader.zone, arrive)
+        self.network.send_reliably(self.zone, reader.zone, arrive)
 
     def answer_polls(self) -> None:
-        """Answer the followers for whom there is something to say."""
+        """Answer the open polls for which the core has an answer."""
         assert self.core is not None
         waiting, self.polls = self.polls, []
         for poll, reply in waiting:
@@ -297,7 +300,7 @@
                 reply(*found)
 
     def read_peer(self, peer: EmulatedHost, pending: PendingCall) -> None:
-        """Ask another host for a copy, over the links between the zones."""
+        """Ask another host for a peer snapshot over the links between the zones."""
 
         def answer() -> None:
             if peer.core is None or peer.frozen:
@@ -309,7 +312,7 @@
         self.network.send(self.zone, peer.zone, answer)
 
     def perform(self, actions: list[Action]) -> None:
-        """Do what the core decided."""
+        """Perform the actions that the core returned."""
         for action in actions:
             match action:
                 case Forward():
@@ -336,7 +339,7 @@
         self.network.send(self.zone, other.zone, arrive)
 
     def forward(self, action: Forward) -> None:
-        """Send a packet to its target's address, with its incarnation before it."""
+        """Send a packet to a target with the expected incarnation and token."""
         row = action.target
         incarnation = row.target.incarnation
         packet = with_token(action.packet, row.token)
@@ -346,14 +349,14 @@
         if target is None:
             return
 
-        def leave() -> None:
+        def transmit() -> None:
             self.network.send(
                 self.zone,
                 target.zone,
                 lambda: target.receive(packet, incarnation, caller),
             )
 
-        self.outbound_link.carry(self.clock, packet.length, leave)
+        self.outbound_link.transmit(self.clock, packet.length, transmit)
 
     def reset(self, action: ResetCaller) -> None:
         """Send a reset to the caller."""
@@ -362,14 +365,14 @@
         reply = Reply(packet.flow, RST, packet.ack, 0, 0)
         self.checker.host_reset(self, caller, packet, action.reason)
 
-        def leave() -> None:
+        def transmit() -> None:
             self.network.send(self.zone, CALLERS, lambda: caller.receive(reply))
 
-        self.outbound_link.carry(self.clock, 0, leave)
+        self.outbound_link.transmit(self.clock, 0, transmit)
 
 
 def with_token(packet: Packet, token: int) -> Packet:
-    """Return a packet as it is sent, with the token of its target."""
+    """Return a packet with the token of its target."""
     return Packet(
         packet.flow,
         packet.route,
--- a/citronspring/emulator/links.py
+++ b/citronspring/emulator/links.py
@@ -1,4 +1,4 @@
-"""A host's own link: a rate, and a queue that drops what would wait for too long."""
+"""A host's own link: a rate, and a queue of limited delay."""
 
 from __future__ import annotations
 
@@ -11,11 +11,10 @@
 
     from citronspring.emulator.clock import Clock
 
-#: Bytes that a packet takes beside its payload: headers of the flow, UDP, IP and the
-#: frame.
+#: Bytes of a packet besides its payload: headers of the flow, UDP, IP and the frame.
 HEADER_BYTES = 77
 
-#: Seconds that a packet waits at most; one that would wait longer is dropped.
+#: Maximum queueing delay in seconds; packets that would wait longer are dropped.
 MAX_QUEUE_SECONDS = 0.6
 
 
@@ -23,19 +22,19 @@
 class Link:
     """One direction of a link."""
 
-    #: Bytes a second.
+    #: Capacity in bytes a second.
     rate: float = math.inf
-    #: When what waits will have been sent.
+    #: Time at which the queue will be empty.
     free_at: float = 0.0
     dropped: int = 0
 
-    def carry(self, clock: Clock, length: int, deliver: Callable[[], None]) -> None:
-        """Deliver a packet once it is through, unless it is dropped."""
-        waits = max(self.free_at - clock.now, 0.0)
-        if waits > MAX_QUEUE_SECONDS:
+    def transmit(self, clock: Clock, length: int, deliver: Callable[[], None]) -> None:
+        """Deliver a packet once it is transmitted, or drop it."""
+        delay = max(self.free_at - clock.now, 0.0)
+        if delay > MAX_QUEUE_SECONDS:
             self.dropped += 1
             return
-        self.free_at = clock.now + waits + (length + HEADER_BYTES) / self.rate
+        self.free_at = clock.now + delay + (length + HEADER_BYTES) / self.rate
         if self.free_at > clock.now:
             clock.at(self.free_at, deliver)
         else:
--- a/citronspring/emulator/loads.py
+++ b/citronspring/emulator/loads.py
@@ -1,4 +1,4 @@
-"""Loads that press on hosts and targets: bursts of callers, alone or with a trouble."""
+"""Loads on hosts and targets: bursts of callers, alone or with a fault."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 if TYPE_CHECKING:
     from citronspring.emulator.world import World
 
-#: Plans what happens in a run.
+#: Schedules the events of a load in a run.
 Load = Callable[["World"], None]
 
-#: Seconds of traffic before a burst, and those that it lasts.
+#: Seconds of traffic before a burst, and the length of a burst in seconds.
 BURST_AT = 5.0
 BURST_SECONDS = 6.0
 
 
 def burst(factor: float) -> Load:
-    """Return a load of some times the usual callers for six seconds."""
+    """Return a load of ``factor`` times the usual callers for six seconds."""
 
     def plan(world: World) -> None:
         start = TRAFFIC_START + BURST_AT
@@ -37,12 +37,12 @@
 
 
 def set_load_factor(world: World, factor: float) -> None:
-    """Have some times the usual callers start from now on."""
+    """Set the rate of new callers to ``factor`` times the usual one."""
     world.load_factor = factor
 
 
 def cut_in_burst(factor: float) -> Load:
-    """Return a burst within which a zone is cut off for three seconds."""
+    """Return a burst during which a zone is partitioned for three seconds."""
 
     def plan(world: World) -> None:
         burst(factor)(world)
@@ -54,7 +54,7 @@
 
 
 def crash_in_burst(factor: float) -> Load:
-    """Return a burst within which two targets end for good."""
+    """Return a burst during which two targets crash and are not replaced."""
 
     def plan(world: World) -> None:
         burst(factor)(world)
@@ -65,7 +65,7 @@
 
 
 def slow_in_burst(factor: float) -> Load:
-    """Return a burst within which a third of the targets is ten times slower."""
+    """Return a burst during which a third of the targets is ten times slower."""
 
     def plan(world: World) -> None:
         burst(factor)(world)
@@ -77,16 +77,16 @@
 
 
 def slow_third(world: World, slowness: float) -> None:
-    """Have a third of the targets of the larger service work slower."""
+    """Set the slowness of about a third of the larger service's targets."""
     for target in list(world.targets.values())[::3]:
         if target.service == "desk":
             target.slowness = slowness
 
 
 def crash_targets(share: float) -> Load:
-    """Return a load within which a share of the larger service's targets end for good.
+    """Return a load in which a share of the larger service's targets crash for good.
 
-    They say nothing, and their entries stay until the store misses their heartbeats.
+    They send nothing, and their entries stay until heartbeats are missed.
     """
 
     def end(world: World) -> None:
@@ -102,7 +102,7 @@
 
 
 def lose_datagrams(share: float) -> Load:
-    """Return a load within which all links lose a share of the datagrams."""
+    """Return a load in which all links lose a share of the datagrams."""
 
     def lose(world: World) -> None:
         world.network.loss = share
@@ -114,7 +114,7 @@
 
 
 def crash_two(world: World) -> None:
-    """End two targets of the larger service; their entries go later."""
+    """Crash two targets of the larger service; their entries are removed later."""
     desk = [one for one in world.targets.values() if one.service == "desk"]
     for target in world.clock.rng.sample(desk, 2):
         target.crash()
@@ -122,7 +122,7 @@
 
 
 def drain_in_burst(factor: float) -> Load:
-    """Return a rush of callers within which a zone is drained; it comes back cold."""
+    """Return a burst during which a zone is drained; it returns in warm-up."""
 
     def plan(world: World) -> None:
         burst(factor)(world)
@@ -133,36 +133,36 @@
     return plan
 
 
-def fault_in_burst(factor: float, befall: FaultAction, seconds: float) -> Load:
-    """Return a rush of callers within which a fault befalls the world."""
-    fault = Fault(TRAFFIC_START + BURST_AT + 0.5, befall.__name__, seconds)
+def fault_in_burst(factor: float, inject: FaultAction, seconds: float) -> Load:
+    """Return a burst during which a fault is injected."""
+    fault = Fault(TRAFFIC_START + BURST_AT + 0.5, inject.__name__, seconds)
 
     def plan(world: World) -> None:
         burst(factor)(world)
-        world.clock.at(fault.at, lambda: befall(world, fault))
+        world.clock.at(fault.at, lambda: inject(world, fault))
 
     return plan
 
 
 def return_cold_in_burst(factor: float) -> Load:
-    """Return a rush within which a zone's targets end, and others start at once."""
+    """Return a burst during which a zone's targets crash; others start together."""
     return fault_in_burst(factor, return_cold, 2.5)
 
 
 def release_in_burst(factor: float) -> Load:
-    """Return a rush within which all targets of a service are replaced."""
+    """Return a burst during which all targets of a service are replaced."""
     return fault_in_burst(factor, release_service, 0.0)
 
 
 def scale_out_in_burst(factor: float) -> Load:
-    """Return a rush within which a third more targets start."""
+    """Return a burst during which a third more targets start."""
     return fault_in_burst(factor, scale_out, 0.0)
 
 
 def change_configuration(
     idle_routes: int, gap: float, changes: int, at: float = BURST_AT
 ) -> Load:
-    """Return a load in which the configuration grows, and changes again.
+    """Return a load in which the configuration grows and changes repeatedly.
 
     Parameters
     ----------
@@ -171,9 +171,9 @@
     gap : float
         Seconds between two changes.
     changes : int
-        Changes in all; each but the first one is of a single route.
+        Number of changes; each after the first adds or removes one or two routes.
     at : float
-        Seconds of traffic before the first.
+        Seconds of traffic before the first change.
     """
 
     def grow(world: World) -> None:
--- a/citronspring/emulator/report.py
+++ b/citronspring/emulator/report.py
@@ -1,4 +1,4 @@
-"""A page about runs: a table, and plots of served requests by second."""
+"""HTML report of runs: a table, and plots of requests in time by second."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
     from citronspring.emulator.faults import Fault
     from citronspring.emulator.run import Outcome
 
-#: Size of a plot in pixels.
+#: Width and height of a plot in pixels.
 WIDTH, HEIGHT = 640, 120
 
-#: Room for the axis on the left, in pixels.
+#: Left margin for the axis labels, in pixels.
 MARGIN = 40
 
 STYLE = (
@@ -26,7 +26,7 @@
 
 
 def render_report(outcomes: list[Outcome]) -> str:
-    """Return the page as HTML."""
+    """Return the report as HTML."""
     rows = "\n".join(table_row(outcome) for outcome in outcomes)
     plots = "\n".join(plot(outcome) for outcome in outcomes)
     return (
@@ -37,7 +37,7 @@
 
 
 def table_row(outcome: Outcome) -> str:
-    """Return the row of a run."""
+    """Return the table row of a run."""
     broken = "".join(f"<br>{escape(text)}" for text in outcome.violations)
     return (
         f"<tr><td>{outcome.seed}<td>{outcome.requests}<td>{outcome.served}"
@@ -47,7 +47,7 @@
 
 
 def plot(outcome: Outcome) -> str:
-    """Return the plot of a run: the share in time by second, and its faults."""
+    """Return the plot of a run: the share of requests in time, and its faults."""
     seconds = [pair for pair in outcome.seconds if pair[0]]
     step = (WIDTH - MARGIN) / max(len(seconds) - 1, 1)
     points = " ".join(
@@ -64,7 +64,7 @@
 
 
 def fault_mark(fault: Fault, step: float) -> str:
-    """Return the mark of a fault on a plot."""
+    """Return the marker of a fault on a plot."""
     x = MARGIN + (fault.at - TRAFFIC_START) * step
     return (
         f"<line class=fault x1={x:.1f} x2={x:.1f} y1=12 y2={HEIGHT - 10} />"
--- a/citronspring/emulator/restore_faults.py
+++ b/citronspring/emulator/restore_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a store that comes back from an older copy."""
+"""Faults in which the store is restored from a backup."""
 
 from __future__ import annotations
 
@@ -23,41 +23,41 @@
 
 
 def restore_store(world: World, fault: Fault) -> None:
-    """The store comes back from a copy that lacks the changes of some seconds."""
-    copy = take_backup(world.store)
+    """Restore the store from a backup that lacks the changes of some seconds."""
+    backup = take_backup(world.store)
     world.clock.after(0.2 * fault.seconds, world.change_configuration)
     world.clock.after(0.4 * fault.seconds, lambda: replace_targets(world, fault))
     world.clock.after(0.6 * fault.seconds, world.change_configuration)
-    world.clock.after(fault.seconds, lambda: restore_after_outage(world, copy))
+    world.clock.after(fault.seconds, lambda: restore_after_outage(world, backup))
 
 
 def restore_unheard(world: World, fault: Fault) -> None:
-    """The same while a zone's reader is cut off, which hears of it later."""
+    """Restore the store while a zone reader is partitioned from it."""
     host = pick_reader(world)
     world.store.partition(host.host_id)
     host.disturbed_at = world.clock.now
     restore_store(world, fault)
-    away = 2.0 * fault.seconds + OUTAGE_SECONDS[1]
-    world.clock.after(away, lambda: reconnect_host(world, host))
+    delay = 2.0 * fault.seconds + OUTAGE_SECONDS[1]
+    world.clock.after(delay, lambda: reconnect_host(world, host))
 
 
 def restore_drain(world: World, fault: Fault) -> None:
-    """The store loses that a zone is drained, and then that it may be used again."""
+    """Restore the store so that it loses a zone's drain, then the end of the drain."""
     zone = world.clock.rng.choice(ZONES)
-    before = take_backup(world.store)
+    backup = take_backup(world.store)
     world.drain_zone(zone)
-    world.clock.after(0.5, lambda: restore_after_outage(world, before))
+    world.clock.after(0.5, lambda: restore_after_outage(world, backup))
     world.clock.after(4.0, lambda: lose_end_of_drain(world, zone))
 
 
 def lose_end_of_drain(world: World, zone: str) -> None:
-    """Operators use a zone again; the store comes back from before that."""
-    copy = take_backup(world.store)
+    """End a zone's drain, then restore the store from a backup made before that."""
+    backup = take_backup(world.store)
     world.end_drain(zone)
-    world.clock.after(0.5, lambda: restore_after_outage(world, copy))
+    world.clock.after(0.5, lambda: restore_after_outage(world, backup))
 
 
-#: The same, and a store that comes back from an older copy.
+#: `ZONE_KINDS` and restores of the store from a backup.
 RESTORE_KINDS: dict[str, FaultAction] = {
     **ZONE_KINDS,
     "restore-drain": restore_drain,
--- a/citronspring/emulator/restores.py
+++ b/citronspring/emulator/restores.py
@@ -1,4 +1,4 @@
-"""The store comes back from an older copy; who had written to it writes again."""
+"""Restores of the store from a backup, and the rewriting of lost entries."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
     from citronspring.emulator.targets import EmulatedTarget
     from citronspring.emulator.world import World
 
-#: Seconds between two entries that a target writes, and within which operators see
-#: that one of theirs is missing.
+#: Seconds between two heartbeats of a target, and the longest time in seconds until
+#: operators rewrite entries that were lost.
 HEARTBEAT_SECONDS = 1.2
 OPERATOR_REWRITE_SECONDS = 1.5
 
-#: Heartbeats without which an entry lapses.
+#: Missed heartbeats after which an entry expires.
 MISSED_HEARTBEATS = 3
 
-#: Seconds for which the store is away before it comes back, at least and at most.
+#: Minimum and maximum length in seconds of the outage before a restore.
 OUTAGE_SECONDS = (0.1, 2.0)
 
 
 @dataclass(frozen=True, slots=True)
 class StoreBackup:
-    """What the store held at one moment."""
+    """A backup of the store at one moment."""
 
     revision: int
     entries: dict[str, Entry]
@@ -44,7 +44,7 @@
 
 
 def take_backup(store: EmulatedStore) -> StoreBackup:
-    """Return a copy of everything in the store."""
+    """Return a backup of the whole store."""
     leases = {number: copy_lease(lease) for number, lease in store.leases.items()}
     return StoreBackup(
         store.revision,
@@ -57,12 +57,12 @@
 
 
 def copy_lease(lease: Lease) -> Lease:
-    """Return a lease that goes on by itself."""
+    """Return an independent copy of a lease."""
     return replace(lease, zones=set(lease.zones))
 
 
-def apply_backup(store: EmulatedStore, copy: StoreBackup) -> None:
-    """Have the store come back from a copy; it gives later revisions out again."""
+def apply_backup(store: EmulatedStore, backup: StoreBackup) -> None:
+    """Restore the store from a backup; later revisions are reused in a new epoch."""
     epoch = store.epoch + 1
 
     def renumbered(revision: int) -> int:
@@ -73,13 +73,13 @@
             return entry
         return with_revision(entry, renumbered(entry.revision))
 
-    store.revision = renumbered(copy.revision)
-    store.entries = {key: of_epoch(entry) for key, entry in copy.entries.items()}
-    store.changes = [(renumbered(at), of_epoch(one)) for at, one in copy.changes]
-    store.compacted_revision = renumbered(copy.compacted_revision)
-    store.last_lease = copy.last_lease
+    store.revision = renumbered(backup.revision)
+    store.entries = {key: of_epoch(entry) for key, entry in backup.entries.items()}
+    store.changes = [(renumbered(at), of_epoch(one)) for at, one in backup.changes]
+    store.compacted_revision = renumbered(backup.compacted_revision)
+    store.last_lease = backup.last_lease
     store.leases = {}
-    for number, lease in copy.leases.items():
+    for number, lease in backup.leases.items():
         store.leases[number] = copy_lease(lease)
         store.leases[number].deadline = store.clock.now + lease.ttl
         store.watch_lease(number)
@@ -87,60 +87,63 @@
     store.disturbed_at = store.clock.now
 
 
-def restore_world(world: World, copy: StoreBackup) -> None:
-    """Have the store come back, and everybody write again what it has lost."""
-    apply_backup(world.store, copy)
+def restore_world(world: World, backup: StoreBackup) -> None:
+    """Restore the store, and schedule the rewriting of lost entries.
+
+    The entries of targets that have ended expire after missed heartbeats.
+    """
+    apply_backup(world.store, backup)
     rng = world.clock.rng
     world.clock.after(
         rng.uniform(0.0, OPERATOR_REWRITE_SECONDS),
         lambda: rewrite_operator_entries(world),
     )
     for target in world.targets.values():
-        pause = rng.uniform(0.0, HEARTBEAT_SECONDS)
+        delay = rng.uniform(0.0, HEARTBEAT_SECONDS)
         if not target.alive:
-            pause = HEARTBEAT_SECONDS * MISSED_HEARTBEATS
-        world.clock.after(pause, lambda one=target: rewrite_target(world, one))
+            delay = HEARTBEAT_SECONDS * MISSED_HEARTBEATS
+        world.clock.after(delay, lambda one=target: rewrite_target(world, one))
 
 
 def rewrite_operator_entries(world: World) -> None:
-    """Have operators write again what the store does not hold of theirs."""
+    """Rewrite the operators' configuration, and correct the drains of zones."""
     store, drained = world.store, world.checker.zone_checker.drained_at
     store.disturbed_at = world.clock.now
     _, newest = world.checker.accepted[-1]
     store.put_configuration(newest)
     for zone in world.checker.zones:
-        held = drain_key(zone) in store.entries
-        if zone in drained and not held:
+        stored = drain_key(zone) in store.entries
+        if zone in drained and not stored:
             store.put_drain(zone)
-        elif zone not in drained and held:
+        elif zone not in drained and stored:
             store.end_drain(zone)
 
 
 def rewrite_target(world: World, target: EmulatedTarget) -> None:
-    """Have a target write its entry again, or that of a dead one lapse."""
+    """Rewrite the entry of a running target, or remove that of an ended one."""
     if not target.alive:
         world.store.remove_target(target)
         return
-    entry, held = target.entry(), world.store.entries.get(target.target_id)
-    if isinstance(held, Target) and is_unchanged(held, entry):
+    entry, stored = target.entry(), world.store.entries.get(target.target_id)
+    if isinstance(stored, Target) and is_unchanged(stored, entry):
         return
     world.store.disturbed_at = world.clock.now
     world.store.put_target(entry)
 
 
-def is_unchanged(held: Target, entry: Target) -> bool:
-    """Whether an entry that is written again is no change of the one that is held."""
-    return held.leaving == entry.leaving and not entry.warmup
+def is_unchanged(stored: Target, entry: Target) -> bool:
+    """Return whether rewriting an entry would not change the stored one."""
+    return stored.leaving == entry.leaving and not entry.warmup
 
 
-def restore_after_outage(world: World, copy: StoreBackup) -> None:
-    """Have the store be away for a moment and come back from a copy."""
+def restore_after_outage(world: World, backup: StoreBackup) -> None:
+    """Begin an outage of the store that ends with a restore from a backup."""
     rng = world.clock.rng
-    moment = rng.uniform(*OUTAGE_SECONDS)
+    outage_seconds = rng.uniform(*OUTAGE_SECONDS)
     world.store.begin_outage(rng.choice(list(Outage)), frozenset())
 
     def end() -> None:
         world.store.end_outage()
-        restore_world(world, copy)
+        restore_world(world, backup)
 
-    world.clock.after(moment, end)
+    world.clock.after(outage_seconds, end)
--- a/citronspring/emulator/routers.py
+++ b/citronspring/emulator/routers.py
@@ -1,4 +1,4 @@
-"""Routers: they send each flow's packets to one ready host of the caller's zone."""
+"""Emulated routers, which send each flow to one ready host of the caller's zone."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
     from citronspring.emulator.network import Network
     from citronspring.tokens.entities import Packet
 
-#: Seconds between two questions for readiness; two misses take a host out.
+#: Seconds between two readiness probes, and the consecutive failures after which a host
+#: is taken out of rotation.
 PROBE_SECONDS = 0.5
 UNHEALTHY_THRESHOLD = 2
 
 
 @dataclass(slots=True)
 class Routers:
-    """All routers, with one view of which hosts are ready."""
+    """All routers, which share one view of the ready hosts."""
 
     clock: Clock
     network: Network
@@ -31,7 +32,7 @@
     misses: dict[str, int] = field(default_factory=dict)
 
     def probe(self) -> None:
-        """Ask every host whether it is ready, twice a second."""
+        """Probe the readiness of every host, and schedule the next probe."""
         for host in self.hosts:
             ready = host.passes_readiness_probe()
             missed = self.misses.get(host.host_id, 0) + 1
@@ -39,11 +40,15 @@
         self.clock.after(PROBE_SECONDS, self.probe)
 
     def in_rotation(self, host: EmulatedHost) -> bool:
-        """Whether packets are sent to a host."""
+        """Return whether a host is in rotation."""
         return self.misses.get(host.host_id, 0) < UNHEALTHY_THRESHOLD
 
     def candidates(self, zone: str) -> list[EmulatedHost]:
-        """Return the hosts that a zone's packets are spread over."""
+        """Return the hosts that a zone's packets are spread over.
+
+        If fewer than half of the zone's hosts are ready, all of them are used; if none
+        is, the ready hosts of other zones are.
+        """
         local = [host for host in self.hosts if host.zone == zone]
         ready = [host for host in local if self.in_rotation(host)]
         if ready:
@@ -51,7 +56,7 @@
         return [host for host in self.hosts if self.in_rotation(host)] or local
 
     def forward(self, zone: str, packet: Packet, caller: EmulatedCaller) -> None:
-        """Send a packet to the host that its flow hashes to."""
+        """Send a packet to the host that its flow hashes to (rendezvous hashing)."""
         hosts = self.candidates(zone)
         if not hosts:
             return
--- a/citronspring/emulator/run.py
+++ b/citronspring/emulator/run.py
@@ -1,4 +1,4 @@
-"""Plays runs of the emulator and sums them up."""
+"""Runs seeds of the emulator and summarizes the results."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
     from citronspring.emulator.callers import Request
     from citronspring.emulator.loads import Load
 
-#: Seconds at the end of traffic by which recovery is judged: the last fault is at
-#: least six seconds old then.
+#: Seconds at the end of traffic in which recovery is checked: the last fault began at
+#: least six seconds before the end.
 RECOVERY_WINDOW = 2.0
 
-#: Share of requests that must be served in that window.
+#: Minimum share of requests that must be served in that window.
 MIN_SERVED_SHARE = 0.9
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a run showed."""
+    """Results of a run."""
 
     seed: int
     faults: list[Fault]
     requests: int
     served: int
     in_time: int
-    #: Most over mean requests of the targets of a service that lived throughout.
+    #: Maximum over mean requests of the larger service's targets that ran throughout.
     imbalance: float
     store_calls: int
     violations: list[str]
-    #: By second of traffic: requests started, and of these in time.
+    #: For each second of traffic, the requests started and those of them in time.
     seconds: list[tuple[int, int]] = field(default_factory=list)
-    #: Resets that hosts sent on open flows, by whether the target held the flow.
+    #: Resets that hosts sent on open flows, by whether the flow was open at its target.
     resets: Resets = field(default_factory=Resets)
-    #: Most openings within a second at a cold target while others were warm.
+    #: Maximum openings within a second at a target in warm-up while warmed-up targets
+    #: were available.
     max_warmup_openings: int = 0
 
     @property
@@ -55,20 +56,20 @@
     kinds: dict[str, FaultAction] = KINDS,
     load: Load | None = None,
 ) -> Outcome:
-    """Play one run.
+    """Run one seed.
 
     Parameters
     ----------
     seed : int
-        Decides everything that is drawn.
+        Seed of all random choices.
     sizes : Sizes, optional
         How large the run is.
     calm : bool
-        Whether nothing goes wrong.
+        Whether to inject no faults.
     kinds : dict
-        What may go wrong, see `citronspring.emulator.faults`.
+        Kinds of faults to choose from, see `citronspring.emulator.faults`.
     load : callable, optional
-        Plans a load, see `citronspring.emulator.loads`.
+        Schedules a load, see `citronspring.emulator.loads`.
     """
     world = World.from_seed(seed, sizes or Sizes())
     if load is not None:
@@ -77,8 +78,8 @@
     world.run()
     requests = world.checker.requests
     served = [one for one in requests if one.answered_at is not None]
-    broken = list(world.checker.violations)
-    broken += check_recovery(world, requests)
+    violations = list(world.checker.violations)
+    violations += check_recovery(world, requests)
     return Outcome(
         seed,
         faults,
@@ -87,7 +88,7 @@
         sum(world.in_time(one) for one in served),
         measure_imbalance(world),
         world.store.calls,
-        broken,
+        violations,
         by_second(world, requests),
         world.checker.resets,
         world.checker.zone_checker.max_warmup_openings,
@@ -95,7 +96,7 @@
 
 
 def check_recovery(world: World, requests: list[Request]) -> list[str]:
-    """Return what is broken if callers are not served again at the end."""
+    """Return a violation if too few of the last requests were served."""
     end = TRAFFIC_START + world.sizes.seconds
     last = [one for one in requests if end - RECOVERY_WINDOW <= one.started_at < end]
     served = sum(one.answered_at is not None for one in last)
@@ -105,7 +106,7 @@
 
 
 def by_second(world: World, requests: list[Request]) -> list[tuple[int, int]]:
-    """Return requests started, and in time, for each second of traffic."""
+    """Return the requests started, and in time, for each second of traffic."""
     seconds = [[0, 0] for _ in range(int(world.sizes.seconds) + 4)]
     for request in requests:
         row = seconds[int(request.started_at - TRAFFIC_START)]
@@ -115,7 +116,7 @@
 
 
 def measure_imbalance(world: World) -> float:
-    """Return the imbalance of the larger service."""
+    """Return the maximum over mean load of the larger service's initial targets."""
     counts = [
         target.served
         for target in world.targets.values()
--- a/citronspring/emulator/store.py
+++ b/citronspring/emulator/store.py
@@ -1,4 +1,4 @@
-"""The store: entries with revisions, watches, lost history, and its troubles."""
+"""The emulated store: entries with revisions, watches, leases and outages."""
 
 from __future__ import annotations
 
@@ -49,13 +49,13 @@
 Entry = Configuration | Target | ZoneReader | ZoneDrain
 Change = Entry | TargetRemoved | ReaderRemoved
 
-#: Seconds that an answer takes.
+#: Seconds until a call is answered.
 ANSWER_TIME = 0.004
 
-#: Entries on a page of a list; small, so that lists have several pages.
+#: Entries on a page of a list; few, so that lists have several pages.
 PAGE_SIZE = 4
 
-#: Seconds for which a watch hears nothing before history is lost.
+#: Seconds for which watch notifications are suppressed before history is lost.
 SUPPRESSED_SECONDS = 1.0
 
 CONFIGURATION_KEY = "configuration"
@@ -63,9 +63,9 @@
 
 
 class Outage(Enum):
-    """What the store does instead of serving."""
+    """How the store fails during an outage."""
 
-    #: It takes calls and never answers.
+    #: It accepts calls and never answers.
     UNRESPONSIVE = "silent"
     #: It refuses each call at once.
     BUSY = "busy"
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class PendingWatch:
-    """A watch that waits for news."""
+    """A watch that waits for changes."""
 
     after: int
     answer: Callable[[StoreAnswer], None]
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True)
 class Lease:
-    """A lease and the zones whose reader is registered under it."""
+    """A lease, and the zones whose reader is registered under it."""
 
     ttl: float
     deadline: float
@@ -92,75 +92,76 @@
 
 @dataclass(slots=True)
 class EmulatedStore:
-    """Entries of the operators and of targets."""
+    """Entries of operators, targets and zone readers."""
 
     clock: Clock
     revision: int = 1
     entries: dict[str, Entry] = field(default_factory=dict)
     changes: list[tuple[int, Change]] = field(default_factory=list)
-    #: Running leases: when each ends, and the zones registered under it.
+    #: Valid leases by number.
     leases: dict[int, Lease] = field(default_factory=dict)
     last_lease: int = 0
-    #: Changes at or below this revision are no longer known.
+    #: Changes at or below this revision are compacted.
     compacted_revision: int = 0
     watches: list[PendingWatch] = field(default_factory=list)
     outage: Outage | None = None
-    #: Hosts that the trouble is for; empty for all.
+    #: Hosts that the outage affects; empty for all.
     outage_hosts: frozenset[str] = frozenset()
-    #: Hosts whose calls do not arrive. That is a trouble of theirs, not of the store.
+    #: Hosts whose calls do not arrive. This counts as a disturbance of the host, not of
+    #: the store.
     partitioned_hosts: set[str] = field(default_factory=set)
-    #: While set, watches hear of no change.
+    #: While set, watches are not notified of changes.
     watches_suppressed: bool = False
     slowness: float = 1.0
     disturbed_at: float = -100.0
-    #: Calls, and renewals of leases beside them.
+    #: Numbers of calls without lease renewals, and of lease renewals.
     calls: int = 0
     renewals: int = 0
 
     # Writes ----------------------------------------------------------------------
 
     def put_configuration(self, configuration: Configuration) -> None:
-        """Accept a configuration."""
+        """Store a configuration."""
         self.revision += 1
         self.entries[CONFIGURATION_KEY] = configuration
         self.record(configuration)
 
     def put_target(self, target: Target) -> None:
-        """Take what a target registers."""
+        """Store the entry of a target."""
         self.revision += 1
         entry = with_revision(target, self.revision)
         self.entries[target.target_id] = entry
         self.record(entry)
 
     def remove_target(self, target: EmulatedTarget) -> None:
-        """Drop a target's entry."""
+        """Remove a target's entry."""
         if self.entries.pop(target.target_id, None) is None:
             return
         self.revision += 1
         self.record(TargetRemoved(target.target_id, self.revision))
 
     def put_drain(self, zone: str) -> None:
-        """Take that operators drain a zone."""
+        """Store the drain of a zone."""
         self.revision += 1
         drain = ZoneDrain(zone, self.revision)
         self.entries[drain_key(zone)] = drain
         self.record(drain)
 
     def end_drain(self, zone: str) -> None:
-        """Take that operators use a zone again."""
+        """Remove the drain of a zone."""
         if self.entries.pop(drain_key(zone), None) is None:
             return
         self.revision += 1
         self.record(ZoneDrain(zone, self.revision, ended=True))
 
     def record(self, change: Change) -> None:
-        """Note a change and tell the watches."""
+        """Record a change and notify the watches."""
         self.changes.append((self.revision, change))
         if not self.watches_suppressed:
             self.notify_watches()
 
     def notify_watches(self) -> None:
-        """Answer the watches that have news."""
+        """Answer the watches for which there are changes."""
         for watch in list(self.watches):
             changes = self.changes_above(watch.after)
             if changes:
@@ -175,7 +176,7 @@
         call: ElectionCall,
         answer: Callable[[ElectionAnswer], None],
     ) -> None:
-        """Take a call for the choice of a reader."""
+        """Handle a call of the zone reader election."""
         if isinstance(call, RenewLease):
             self.renewals += 1
         else:
@@ -187,7 +188,7 @@
         self.answer_later(answer, self.handle_election(call))
 
     def handle_election(self, call: ElectionCall) -> ElectionAnswer:
-        """Do what a call asks for."""
+        """Perform an election call and return its answer."""
         if isinstance(call, GrantLease):
             self.last_lease += 1
             self.leases[self.last_lease] = Lease(call.ttl, self.clock.now + call.ttl)
@@ -207,7 +208,7 @@
         return Done()
 
     def claim(self, call: ClaimZone, lease: Lease) -> ElectionAnswer:
-        """Register the reader of a zone, unless another entry stands there."""
+        """Register the reader of a zone, unless the entry has another revision."""
         known = self.entries.get(reader_key(call.zone))
         count = count_of(known.revision) if known is not None else 0
         if count != count_of(call.replaces):
@@ -222,22 +223,22 @@
         return Done()
 
     def watch_lease(self, number: int) -> None:
-        """End a lease at its deadline, unless it is renewed before."""
+        """Schedule the end of a lease at its deadline, unless it is renewed."""
 
-        def look() -> None:
+        def check() -> None:
             lease = self.leases.get(number)
             if lease is not None and self.clock.now >= lease.deadline:
                 self.end_lease(number)
 
-        self.clock.at(self.leases[number].deadline, look)
+        self.clock.at(self.leases[number].deadline, check)
 
     def end_lease(self, number: int) -> None:
-        """End a lease, and what is registered under it."""
+        """End a lease, and remove the registrations under it."""
         for zone in sorted(self.leases.pop(number).zones):
             self.revoke_reader(zone)
 
     def revoke_reader(self, zone: str) -> None:
-        """Remove the registration of a zone's reader."""
+        """Remove the registration of a zone reader."""
         if self.entries.pop(reader_key(zone), None) is None:
             return
         self.revision += 1
@@ -245,7 +246,7 @@
 
     @property
     def epoch(self) -> int:
-        """Return how often the store has come back from an older copy."""
+        """Return how often the store has been restored from a backup."""
         return epoch_of(self.revision)
 
     # Reads -----------------------------------------------------------------------
@@ -256,7 +257,7 @@
         call: ListEntries | WatchEntries,
         answer: Callable[[StoreAnswer], None],
     ) -> None:
-        """Take a call; ``answer`` is run when, and if, it is answered."""
+        """Handle a read; ``answer`` is called when, and if, it is answered."""
         self.calls += 1
         if self.is_unavailable_to(host_id):
             if self.outage is Outage.BUSY and host_id not in self.partitioned_hosts:
@@ -269,7 +270,7 @@
                 self.watch(host_id, call, answer)
 
     def is_unavailable_to(self, host_id: str) -> bool:
-        """Whether a host is not served."""
+        """Return whether a host is not served."""
         if host_id in self.partitioned_hosts:
             return True
         if self.outage is None:
@@ -277,11 +278,11 @@
         return not self.outage_hosts or host_id in self.outage_hosts
 
     def answer_later(self, answer: Callable[[Any], None], found: object) -> None:
-        """Give an answer after the time it takes."""
+        """Deliver an answer after the time that a call takes."""
         self.clock.after(ANSWER_TIME * self.slowness, lambda: answer(found))
 
     def page(self, after_key: str) -> Page:
-        """Return a page of the list."""
+        """Return the page of the list after a key."""
         keys = sorted(key for key in self.entries if key > after_key)
         shown = keys[:PAGE_SIZE]
         next_key = shown[-1] if len(keys) > len(shown) else None
@@ -294,7 +295,7 @@
         call: WatchEntries,
         answer: Callable[[StoreAnswer], None],
     ) -> None:
-        """Answer a watch at once if there is news, else keep it."""
+        """Answer a watch at once if there are changes, else keep it open."""
         after = ordered_revision(self.epoch, count_of(call.after_revision))
         if after < self.compacted_revision or after > self.revision:
             self.answer_later(answer, HistoryLost(self.epoch))
@@ -309,53 +310,53 @@
         self.clock.at(watch.deadline, lambda: self.end_watch(watch))
 
     def end_watch(self, watch: PendingWatch) -> None:
-        """Answer a watch that has waited for its time."""
+        """Answer an open watch at its deadline, without changes."""
         if watch in self.watches:
             self.watches.remove(watch)
             watch.answer(Changes((), None, self.epoch))
 
     def changes_above(self, revision: int) -> list[tuple[int, Change]]:
-        """Return the known changes above a revision."""
+        """Return the changes above a revision that are not compacted."""
         return [change for change in self.changes if change[0] > revision]
 
     def watch_answer(self, changes: list[tuple[int, Change]]) -> Changes:
-        """Return changes as a watch tells them."""
+        """Return changes as the answer to a watch."""
         found = tuple(change for _, change in changes)
         return Changes(found, changes[-1][0], self.epoch)
 
-    # Troubles --------------------------------------------------------------------
+    # Outages ---------------------------------------------------------------------
 
-    def begin_outage(self, trouble: Outage, hosts: frozenset[str]) -> None:
-        """Stop serving some hosts, or all; watches that wait are swallowed."""
-        self.outage, self.outage_hosts = trouble, hosts
+    def begin_outage(self, outage: Outage, hosts: frozenset[str]) -> None:
+        """Stop serving some hosts, or all; open watches are dropped."""
+        self.outage, self.outage_hosts = outage, hosts
         self.disturbed_at = self.clock.now
         self.watches.clear()
 
     def end_outage(self) -> None:
-        """Serve again."""
+        """Serve all hosts at normal speed again."""
         self.outage = None
         self.slowness = 1.0
         self.disturbed_at = self.clock.now
 
     def partition(self, host_id: str) -> None:
-        """Have a host hear nothing; a watch of its that waits is swallowed."""
+        """Partition a host from the store; its open watches are dropped."""
         self.partitioned_hosts.add(host_id)
         self.watches = [one for one in self.watches if one.host_id != host_id]
 
     def lose_history(self) -> None:
-        """Have watches hear nothing for a while, then forget and cut them."""
+        """Suppress watch notifications for a while, then compact the history."""
         self.watches_suppressed = True
         self.disturbed_at = self.clock.now
         self.clock.after(SUPPRESSED_SECONDS, self.compact_history)
 
     def compact_history(self) -> None:
-        """Forget all changes and cut every watch."""
+        """Compact the history and end every watch with lost history."""
         self.watches_suppressed = False
         self.disturbed_at = self.clock.now
         self.compacted_revision = self.revision
         self.changes.clear()
-        cut, self.watches = self.watches, []
-        for watch in cut:
+        ended, self.watches = self.watches, []
+        for watch in ended:
             watch.answer(HistoryLost(self.epoch))
 
 
@@ -365,5 +366,5 @@
 
 
 def drain_key(zone: str) -> str:
-    """Return the key by which operators drain a zone."""
+    """Return the key of a zone's drain."""
     return f"drain-of-{zone}"
--- a/citronspring/emulator/targets.py
+++ b/citronspring/emulator/targets.py
@@ -1,4 +1,4 @@
-"""Targets: they answer openings, acknowledge at once, queue requests, and end."""
+"""Emulated targets, which accept flows, and queue, run and answer requests."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
     from citronspring.emulator.network import Network
     from citronspring.tokens.entities import Packet
 
-#: Requests that wait for a slot; a target with as many takes no further flow.
+#: Maximum number of queued requests; a target with a full queue accepts no new flow.
 MAX_QUEUED_REQUESTS = 8
 
-#: Seconds after which a target that sheds load says that it has not run a request.
+#: Seconds after which a target that sheds load answers that a request was not run.
 SHED_DELAY = 0.1
 
-#: Bytes of such an answer.
+#: Payload bytes of such an answer.
 SHED_BYTES = 100
 
-#: Bytes of every answer.
+#: Payload bytes of every other answer.
 ANSWER_BYTES = 900
 
-#: How much longer a request takes at a target that has just started.
+#: Factor by which a request takes longer at a target in warm-up.
 WARMUP_SLOWNESS = 1.6
 
-#: Seconds after which an answer that is not acknowledged is sent again, at most so
-#: many times.
+#: Seconds until an unacknowledged answer is retransmitted, doubled each time up to
+#: eightfold, and the maximum number of retransmissions.
 RETRANSMIT_SECONDS = 0.2
 MAX_RETRANSMISSIONS = 8
 
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """A packet from a target, or a reset from a host, to a caller."""
+    """A packet to a caller: from a target, or a reset from a host."""
 
     flow: bytes
     flags: int
@@ -51,9 +51,9 @@
     ack: int
     token: int
     length: int = 0
-    #: Target that sent it; None for a host.
+    #: Incarnation of the target that sent it; None for a host.
     sender: int | None = None
-    #: Whether it answers a request that the target has not run.
+    #: Whether the target shed the request and did not run it.
     shed: bool = False
 
 
@@ -64,7 +64,7 @@
     caller: EmulatedCaller
     first_seq: int
     next_seq: int
-    #: Number of the next byte of the target's.
+    #: Sequence number of the target's next byte.
     own_seq: int
     token: int
     open: bool = False
@@ -91,20 +91,20 @@
     queue: list[tuple[bytes, TargetFlow]] = field(default_factory=list)
     disturbed_at: float = -100.0
     served: int = 0
-    #: Whether it takes flows while its queue is full, and turns requests away then.
+    #: Whether it accepts flows while its queue is full, and sheds their requests.
     sheds: bool = False
-    #: Time until which it works slower after its start.
+    #: Time at which its warm-up ends.
     warmup_until: float = -math.inf
-    #: Entries that it has written.
+    #: Sequence number of the last entry that it wrote.
     entry_sequence: int = 0
 
     @property
     def target_id(self) -> str:
-        """Return the id under which it registers."""
+        """Return the id under which the target registers."""
         return f"i-{self.incarnation:x}"
 
     def entry(self) -> Target:
-        """Return what it registers next."""
+        """Return the next entry that the target writes."""
         self.entry_sequence += 1
         return Target(
             self.target_id,
@@ -122,14 +122,14 @@
         )
 
     def crash(self) -> None:
-        """End without a word; its flows are lost."""
+        """Crash without leaving; the flows are lost."""
         self.alive = False
         self.disturbed_at = self.clock.now
         self.flows.clear()
         self.queue.clear()
 
     def receive(self, packet: Packet, incarnation: int, caller: EmulatedCaller) -> None:
-        """Take a packet that a host sent to this target's address."""
+        """Handle a packet that a host sent to this target's address."""
         if not self.alive or incarnation != self.incarnation:
             return
         flow = self.flows.get(packet.flow)
@@ -143,7 +143,7 @@
     def handle_opening(
         self, packet: Packet, flow: TargetFlow | None, caller: EmulatedCaller
     ) -> None:
-        """Answer an opening, unless the queue is full."""
+        """Answer an opening, unless the queue is full and the target does not shed."""
         self.checker.zone_checker.opening_received(self)
         if flow is None or flow.first_seq != packet.seq:
             if len(self.queue) >= MAX_QUEUED_REQUESTS and not self.sheds:
@@ -157,8 +157,8 @@
         self.reply(caller, reply)
 
     def handle_flow_packet(self, packet: Packet, flow: TargetFlow) -> None:
-        """Take a packet of a flow that is known here."""
-        # Either end returns the last token that it received.
+        """Handle a packet of a known flow."""
+        # Both ends return the last token that they received.
         flow.token = packet.token
         if not flow.open:
             if packet.ack != (flow.own_seq + 1 & SEQ_MASK):
@@ -180,7 +180,7 @@
             self.reply(flow.caller, reply)
 
     def enqueue(self, key: bytes, flow: TargetFlow) -> None:
-        """Have a request wait for a slot."""
+        """Queue a request until a slot is free, or shed it if the queue is full."""
         if self.sheds and len(self.queue) >= MAX_QUEUED_REQUESTS:
             self.clock.after(SHED_DELAY, lambda: self.shed(key, flow))
             return
@@ -188,7 +188,7 @@
         self.start_work()
 
     def shed(self, key: bytes, flow: TargetFlow) -> None:
-        """Answer a request that there was no room for."""
+        """Answer that a request was shed."""
         if not self.alive or self.flows.get(key) is not flow:
             return
         start = flow.own_seq
@@ -198,7 +198,7 @@
         self.reply(flow.caller, reply)
 
     def start_work(self) -> None:
-        """Start as many requests as there are slots."""
+        """Start queued requests while slots are free."""
         while self.queue and self.running < self.slots:
             key, flow = self.queue.pop(0)
             if self.flows.get(key) is not flow:
@@ -214,7 +214,7 @@
             self.clock.after(seconds, lambda k=key, f=flow: self.finish_request(k, f))
 
     def finish_request(self, key: bytes, flow: TargetFlow) -> None:
-        """Answer a request and start the next."""
+        """Answer a request and start queued ones."""
         self.running -= 1
         if self.alive and self.flows.get(key) is flow:
             start = flow.own_seq
@@ -223,7 +223,7 @@
         self.start_work()
 
     def send_answer(self, key: bytes, flow: TargetFlow, start: int, tries: int) -> None:
-        """Send an answer, and again until it is acknowledged."""
+        """Send an answer, and schedule retransmissions until it is acknowledged."""
         if (
             not self.alive
             or self.flows.get(key) is not flow
@@ -240,6 +240,6 @@
         )
 
     def reply(self, caller: EmulatedCaller, reply: Reply) -> None:
-        """Send a packet to a caller directly."""
+        """Send a packet to a caller directly, not through a host."""
         reply.sender = self.incarnation
         self.network.send(self.zone, CALLERS, lambda: caller.receive(reply))
--- a/citronspring/emulator/world.py
+++ b/citronspring/emulator/world.py
@@ -1,4 +1,4 @@
-"""Hosts, targets, callers, routers and a store, wired for one run."""
+"""The parts of one run: hosts, targets, callers, routers and a store."""
 
 from __future__ import annotations
 
@@ -29,54 +29,54 @@
 UPLOADS = route_key(SERVICE_ADDRESS, 9443)
 SERVICES = {STREAMS: "desk", ORDERS: "desk", UPLOADS: "archive"}
 
-#: Seconds before traffic in which hosts and targets come up.
+#: Seconds before traffic starts, in which hosts and targets start up.
 TRAFFIC_START = 2.0
 
-#: Seconds until each kind of request is given up by its caller.
+#: Seconds until a caller gives up a request, by route.
 DEADLINES = {STREAMS: 1.5, ORDERS: 2.0, UPLOADS: 3.0}
 
-#: Seconds within which an answer counts as in time.
+#: Latency objective: seconds within which an answer counts as in time.
 LATENCY_OBJECTIVE = 0.2
 
-#: Hosts that all others know from their settings.
+#: Number of seed hosts, which all others know from their settings.
 SEED_HOSTS = 3
 
-#: Requests that one stream sends over its flow.
+#: Requests that a stream sends over one flow.
 STREAM_REQUESTS = 8
 
-#: Seconds that a leaving target serves on.
+#: Seconds that a leaving target continues to serve.
 LEAVE_SECONDS = 6.0
 
 
 @dataclass(slots=True)
 class Sizes:
-    """How large a run is."""
+    """Sizes and bounds of a run."""
 
     hosts_per_zone: int = 2
     desk_per_zone: int = 3
     archive_per_zone: int = 1
-    #: Callers that start a second.
+    #: New callers a second.
     callers_per_second: float = 25.0
-    #: Seconds of traffic.
+    #: Length of the traffic in seconds.
     seconds: float = 25.0
-    #: Bytes a second that each host's link carries, either way.
+    #: Capacity of each host's link in each direction, in bytes a second.
     link_rate: float = math.inf
-    #: Seconds within which operators want answers, by the configuration; targets
-    #: turn requests away when they are full.
+    #: Latency objective of the routes in seconds, and whether targets with a full queue
+    #: shed requests.
     objective: float = math.inf
     targets_shed: bool = False
-    #: Bytes a second at which answers of the store come in to each host.
+    #: Bytes a second at which each host downloads answers of the store.
     download_rate: float = math.inf
-    #: Seconds within which changes are in force, and after a trouble again.
+    #: Seconds within which changes are applied, and the settling time.
     change_bound: float = CHANGE_BOUND
     settling: float = SETTLING
-    #: Seconds for which a target that starts during traffic works slower.
+    #: Length in seconds of the warm-up of a target that starts during traffic.
     warmup_seconds: float = 0.0
 
 
 @dataclass(slots=True)
 class World:
-    """One run."""
+    """The state of one run."""
 
     clock: Clock
     network: Network
@@ -88,15 +88,15 @@
     targets: dict[int, EmulatedTarget] = field(default_factory=dict)
     revision: int = 0
     extra_routes: int = 0
-    #: Routes that see no traffic.
+    #: Number of routes without traffic.
     idle_routes: int = 0
     callers: int = 0
-    #: How many times the usual callers there are now.
+    #: Current rate of new callers, relative to the usual one.
     load_factor: float = 1.0
 
     @classmethod
     def from_seed(cls, seed: int, sizes: Sizes) -> World:
-        """Make a world whose hosts and targets start up."""
+        """Build a run whose hosts and targets start up."""
         clock = Clock(seed)
         network = Network(clock)
         store = EmulatedStore(clock)
@@ -145,7 +145,7 @@
         host.start()
 
     def add_target(self, service: str, zone: str) -> EmulatedTarget:
-        """Start a target, which registers."""
+        """Start and register a target."""
         incarnation = (len(self.targets) + 1) * 0x1001
         target = EmulatedTarget(
             self.clock, self.network, self.checker, incarnation, service, zone
@@ -158,16 +158,16 @@
         return target
 
     def begin_warmup(self, target: EmulatedTarget) -> None:
-        """Have a target work slower for a while, as after a start."""
+        """Begin the warm-up of a target, as after a start."""
         target.warmup_until = self.clock.now + self.sizes.warmup_seconds
 
     def drain_zone(self, zone: str) -> None:
-        """Have operators drain a zone."""
+        """Drain a zone."""
         self.checker.zone_checker.drained_at.setdefault(zone, self.clock.now)
         self.store.put_drain(zone)
 
     def end_drain(self, zone: str) -> None:
-        """Have operators use a zone again; its targets have gone cold meanwhile."""
+        """End the drain of a zone; its targets need a new warm-up."""
         self.checker.zone_checker.drained_at.pop(zone, None)
         for target in self.targets.values():
             if target.zone == zone and target.alive and self.sizes.warmup_seconds:
@@ -176,19 +176,19 @@
         self.store.end_drain(zone)
 
     def replace_target(self, target: EmulatedTarget) -> None:
-        """Have a target leave, with another in its place."""
+        """Start a replacement for a target, which leaves gracefully."""
         self.add_target(target.service, target.zone)
         target.leaving_at = self.clock.now
         self.store.put_target(target.entry())
         self.clock.after(LEAVE_SECONDS, lambda: self.end_target(target))
 
     def end_target(self, target: EmulatedTarget) -> None:
-        """End a target whose entry goes with it."""
+        """End a target and remove its entry."""
         target.crash()
         self.store.remove_target(target)
 
     def change_configuration(self) -> None:
-        """Have the operators add a route, or remove what they added."""
+        """Commit a configuration that adds a route, or removes the added ones."""
         self.revision += 3
         self.extra_routes = (self.extra_routes + 1) % 3
         keys = [*SERVICES, *(STREAMS + 1000 + n for n in range(self.extra_routes))]
@@ -211,16 +211,16 @@
     # Traffic ---------------------------------------------------------------------
 
     def start_callers(self) -> None:
-        """Have callers start at random times until traffic ends."""
+        """Start callers at random times until traffic ends."""
         if self.clock.now >= TRAFFIC_START + self.sizes.seconds:
             return
         self.start_caller()
         rate = self.load_factor * self.sizes.callers_per_second
-        pause = self.clock.rng.expovariate(rate)
-        self.clock.after(pause, self.start_callers)
+        delay = self.clock.rng.expovariate(rate)
+        self.clock.after(delay, self.start_callers)
 
     def start_caller(self) -> None:
-        """Start one caller with a flow of its own."""
+        """Start one caller of a random kind in a random zone."""
         rng = self.clock.rng
         route = rng.choices((STREAMS, ORDERS, UPLOADS), (3, 5, 2))[0]
         if rng.random() < 0.02:
@@ -240,11 +240,11 @@
         caller.start()
 
     def run(self) -> None:
-        """Play the run to its end, and the last answers."""
+        """Run until traffic ends, and three seconds more for the last answers."""
         self.clock.run_until(TRAFFIC_START + self.sizes.seconds + 3.0)
 
     def in_time(self, request: Request) -> bool:
-        """Whether a request was answered within the objective."""
+        """Return whether a request was answered within the latency objective."""
         answered_at = request.answered_at
         return answered_at is not None and (
             answered_at - request.started_at <= LATENCY_OBJECTIVE
@@ -252,7 +252,7 @@
 
 
 def idle_route(number: int) -> Route:
-    """Return a route that sees no traffic."""
+    """Return a route without traffic."""
     address, port = SERVICE_ADDRESS + 1 + number // 1000, 1 + number % 1000
     shares = (Share("desk", 1.0),)
     return Route(f"idle-{number}", route_key(address, port), shares, True)
--- a/citronspring/emulator/zone_checker.py
+++ b/citronspring/emulator/zone_checker.py
@@ -1,4 +1,4 @@
-"""Judges what drained zones get, and targets that have just started."""
+"""Checks openings sent to drained zones and to targets in warm-up."""
 
 from __future__ import annotations
 
@@ -16,27 +16,28 @@
     from citronspring.tokens.entities import Packet
     from citronspring.tokens.messages import Log
 
-#: Openings that a cold target bears in any span of a second, from all hosts together.
+#: Maximum openings from all hosts together that a target in warm-up may get in any
+#: window, and the length of the window in seconds.
 MAX_WARMUP_OPENINGS = 5
 OPENINGS_WINDOW = 1.0
 
 
 @dataclass(slots=True)
 class ZoneChecker:
-    """What operators want of zones, and what was sent there all the same."""
+    """State of the checks of drained zones and of targets in warm-up."""
 
     checker: Checker
-    #: Since when each drained zone is to get nothing.
+    #: Time at which each drained zone's drain began.
     drained_at: dict[str, float] = field(default_factory=dict)
-    #: Host, its start, and a zone that it has taken to be drained.
+    #: Drains that hosts have logged, as host id, start number of its process, and zone.
     reported_drains: set[tuple[str, int, str]] = field(default_factory=set)
-    #: Times of the newest openings at each cold target.
+    #: Times of recent openings at each target in warm-up, by incarnation.
     arrivals: dict[int, deque[float]] = field(default_factory=dict)
-    #: Most openings within a second at a cold target.
+    #: Maximum openings within one window at a target in warm-up.
     max_warmup_openings: int = 0
 
     def logged(self, host: EmulatedHost, log: Log) -> None:
-        """Take what a host says of drained zones."""
+        """Record the drains that a host logs."""
         if log.number != ZONE_DRAIN_CHANGED.number:
             return
         key = (host.host_id, host.boot, str(log.fields["zone"]))
@@ -48,7 +49,7 @@
     def forwarded(
         self, host: EmulatedHost, target: EmulatedTarget, packet: Packet
     ) -> None:
-        """Take that a host sends a packet to a target."""
+        """Check that an opening is not forwarded to a drained zone."""
         if not packet.flags & SYN:
             return
         checker = self.checker
@@ -63,7 +64,7 @@
             checker.report_violation("drained zones rest", detail)
 
     def opening_received(self, target: EmulatedTarget) -> None:
-        """Take that an opening has reached a target."""
+        """Check the rate of openings at a target in warm-up."""
         now = self.checker.clock.now
         if now >= target.warmup_until or self.may_have_lost_writes():
             return
@@ -79,16 +80,16 @@
             self.checker.report_violation("cold targets rest", detail)
 
     def may_have_lost_writes(self) -> bool:
-        """Whether the store may have lost what targets have just written.
+        """Return whether a restored store may have lost recent entries of targets.
 
-        Who has heard nothing of a start, or only that of a target which is warm, cannot
-        know that it is cold.
+        A host that has no entry of a target's start, or only one without a warm-up,
+        cannot know that the target is in warm-up.
         """
         store = self.checker.store
         return store.epoch > 0 and not self.checker.settled(store.disturbed_at)
 
     def warm_target_available(self, target: EmulatedTarget) -> bool:
-        """Whether every host could have given the flow to a warm target."""
+        """Return whether every host could place the flow on a warmed-up target."""
         checker = self.checker
         if not all(checker.links_undisturbed(zone) for zone in checker.zones):
             return False
