--- a/citronspring/experiments/checker.py
+++ b/citronspring/experiments/checker.py
@@ -1,4 +1,4 @@
-"""Judges a history: one function for each promise, each returns its violations."""
+"""Checks a history: one function for each guarantee, which returns its violations."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 
     from citronspring.experiments.history import History
 
-#: Seconds from acceptance until a change is in force on every connected host.
+#: Maximum seconds from acceptance until every connected host has applied a change.
 MAX_APPLY_SECONDS = 4.0
 
-#: Seconds after a drain was accepted from which the target gets no new work.
+#: Maximum seconds after the acceptance of a drain in which the target gets new work.
 MAX_DRAIN_SECONDS = 4.0
 
-#: Seconds until all hosts have noticed that one was killed.
+#: Maximum seconds until all hosts have detected that one was killed.
 MAX_DETECTION_SECONDS = 6.0
 
-#: Seconds within which a caller has its answer to an opening that is refused.
+#: Maximum seconds until a caller receives the refusal of an opening.
 MAX_REFUSAL_SECONDS = 6.0
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that a run broke."""
+    """A violation of a guarantee in a run."""
 
     guarantee: str
     at: float
@@ -51,7 +51,7 @@
 
 
 def whole_own_answers(history: History) -> list[Violation]:
-    """Each answer is whole and the caller's own."""
+    """Each answer is complete and belongs to the caller's own request."""
     return [
         Violation("whole own answers", entry.at, entry.request_id)
         for entry in history.of(RequestEnded)
@@ -60,7 +60,7 @@
 
 
 def unbroken_flows(history: History) -> list[Violation]:
-    """No flow breaks, whatever happens to hosts, targets and configuration."""
+    """No flow breaks, whatever happens to hosts, targets and the configuration."""
     return [
         Violation("unbroken flows", entry.at, f"{entry.request_id} {entry.detail}")
         for entry in history.of(RequestEnded)
@@ -69,7 +69,7 @@
 
 
 def not_run_means_not_run(history: History) -> list[Violation]:
-    """What a caller was told was not run did not run."""
+    """A refused request has not run."""
     ran = {entry.request_id for entry in history.of(RequestRan)}
     return [
         Violation("not run means not run", entry.at, entry.request_id)
@@ -79,10 +79,10 @@
 
 
 def refused_at_once(history: History) -> list[Violation]:
-    """A refusal is not held back, and says when to come back.
+    """A refusal is not delayed, and says when to retry.
 
-    While a zone is cut, or a host is frozen or was killed a moment ago, openings are
-    lost on the way; a host that sees one for the first time takes its own time.
+    While a zone is partitioned, or a host is frozen or was killed recently, openings
+    are lost in transit; a host counts its time from the first copy that it receives.
     """
     opened = {entry.request_id: entry.at for entry in history.of(RequestOpened)}
     ended = [entry.at for entry in history.of(HostEnded)]
@@ -130,7 +130,7 @@
 
 
 def leaving_targets_get_no_work(history: History) -> list[Violation]:
-    """A leaving target gets no new work after a few seconds."""
+    """A leaving target gets no new work after `MAX_DRAIN_SECONDS`."""
     drained: dict[str, float] = {}
     for entry in history.of(ChangeAccepted):
         if entry.drained is not None:
@@ -151,10 +151,10 @@
 def changes_were_delayed(
     history: History, start: float, end: float, kinds: tuple[str, ...]
 ) -> bool:
-    """Whether changes could not spread at some time in an interval.
+    """Return whether changes could not propagate at some time in an interval.
 
-    A disturbance still counts until `MAX_APPLY_SECONDS` after its end: what it held
-    up needs that long to spread.
+    A disturbance counts until `MAX_APPLY_SECONDS` after its end: changes that it
+    delayed need that long to propagate.
     """
     return any(
         entry.kind in kinds
@@ -165,7 +165,7 @@
 
 
 def revisions_never_fall(history: History) -> list[Violation]:
-    """No host goes back to an older configuration."""
+    """No host process returns to an older configuration."""
     highest: dict[str, int] = defaultdict(int)
     found = []
     for entry in history.of(RevisionSeen, HostStarted):
@@ -180,7 +180,7 @@
 
 
 def changes_in_force(history: History) -> list[Violation]:
-    """An accepted change is in force on every connected host within seconds."""
+    """Every connected host applies an accepted change within `MAX_APPLY_SECONDS`."""
     found = []
     for change in history.of(ChangeAccepted):
         due = change.at + MAX_APPLY_SECONDS
@@ -206,7 +206,7 @@
 
 
 def revision_at(history: History, host_id: str, at: float) -> int:
-    """Return the revision a host had at a time."""
+    """Return the revision that a host had at a time."""
     seen = 0
     for entry in history.of(RevisionSeen):
         if entry.host_id == host_id and entry.at <= at:
@@ -217,7 +217,7 @@
 def host_was_disturbed(
     history: History, host_id: str, start: float, end: float
 ) -> bool:
-    """Whether a host was cut off or frozen at some time in an interval."""
+    """Return whether a host was partitioned or frozen at some time in an interval."""
     places = (host_id, history.zones[host_id], "")
     return any(
         entry.place in places
@@ -227,7 +227,7 @@
     )
 
 
-#: Every promise by name.
+#: The check of each guarantee, by name.
 GUARANTEES: dict[str, Callable[[History], list[Violation]]] = {
     "whole own answers": whole_own_answers,
     "unbroken flows": unbroken_flows,
@@ -242,5 +242,5 @@
 
 
 def check(history: History) -> list[Violation]:
-    """Return every violation of every promise."""
-    return [found for promise in GUARANTEES.values() for found in promise(history)]
+    """Return all violations of all guarantees."""
+    return [found for check_one in GUARANTEES.values() for found in check_one(history)]
--- a/citronspring/experiments/coroutines.py
+++ b/citronspring/experiments/coroutines.py
@@ -1,7 +1,7 @@
 """Runs coroutines in virtual time, interleaved at each wait.
 
-Operators and readers are coroutines that call the platform. Here each call waits
-in virtual time, so that two operators interleave as their seed says.
+Operators and zone readers are coroutines that call the platform. Each call waits in
+virtual time, so that concurrent operators interleave as the seed determines.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sleep:
-    """Waits so many seconds of virtual time."""
+    """Awaitable that waits some seconds of virtual time."""
 
     seconds: float
 
@@ -28,13 +28,13 @@
 
 
 async def sleep(seconds: float) -> None:
-    """Wait in virtual time; takes the place of a real sleep."""
+    """Wait in virtual time, in place of `asyncio.sleep`."""
     await Sleep(seconds)
 
 
 @dataclass(slots=True)
 class CoroutineResult:
-    """How a coroutine ended: with a value, or with an error."""
+    """Result of a coroutine: a value or an error."""
 
     value: Any = None
     error: Exception | None = None
@@ -45,32 +45,32 @@
     coroutine: Coroutine[Any, None, Any],
     done: Callable[[CoroutineResult], None],
 ) -> None:
-    """Run a coroutine over virtual time and tell how it ended."""
+    """Run a coroutine in virtual time and call ``done`` with its result."""
 
     def step() -> None:
         try:
-            waited = coroutine.send(None)
+            sleep_request = coroutine.send(None)
         except StopIteration as end:
             done(CoroutineResult(end.value))
         except Exception as error:
             done(CoroutineResult(error=error))
         else:
-            network.after(waited.seconds, step)
+            network.after(sleep_request.seconds, step)
 
     step()
 
 
 class DelayedPlatform:
-    """A platform whose every call takes virtual time on both ways.
+    """A platform whose calls take virtual time in both directions.
 
     Parameters
     ----------
     platform : Platform
-        What the calls reach.
+        Platform that handles the calls.
     delay : callable
-        Returns the seconds of one way.
+        Returns the one-way delay in seconds.
     reachable : callable
-        Whether calls get through at this moment.
+        Returns whether the platform is reachable now.
     """
 
     def __init__(
@@ -94,17 +94,25 @@
     async def call(
         self, method: Callable[..., Awaitable[Any]], *args: Any, **kwargs: Any
     ) -> Any:
-        """Call a method of the platform; raises what its port raises."""
+        """Call a method of the platform with delays and outages.
+
+        Raises
+        ------
+        PlatformUnavailableError
+            If the platform is unreachable before the call arrives.
+        OutcomeUnknownError
+            If it becomes unreachable before the answer arrives.
+        """
         self.require_reachable()
         await sleep(self.delay())
         self.require_reachable()
         result = await method(*args, **kwargs)
         await sleep(self.delay())
         if not self.reachable():
-            raise OutcomeUnknownError("the answer was lost", "read before repeating")
+            raise OutcomeUnknownError("the answer was lost", "read before a retry")
         return result
 
     def require_reachable(self) -> None:
-        """Raise unless calls get through."""
+        """Raise `PlatformUnavailableError` unless the platform is reachable."""
         if not self.reachable():
-            raise PlatformUnavailableError("no way to the platform", "try again")
+            raise PlatformUnavailableError("platform unreachable", "try again")
--- a/citronspring/experiments/faults.py
+++ b/citronspring/experiments/faults.py
@@ -1,4 +1,4 @@
-"""Brings about the faults of a scenario."""
+"""Injects the faults of a scenario."""
 
 from __future__ import annotations
 
@@ -28,45 +28,46 @@
     from citronspring.experiments.scenario import Fault
     from citronspring.standins.sample_configuration import Operator
 
-#: Seconds a leaving host serves what is in flight.
+#: Seconds for which a leaving host serves its remaining flows.
 LEAVE_TIME = 20.0
 
 #: Seconds after which a killed host's replacement starts.
 REPLACEMENT_TIME = 5.0
 
-#: Hosts that keep running whatever befalls the others.
+#: Minimum number of hosts that faults leave running.
 MIN_HOSTS = 2
 
-#: Targets of an account that an operator leaves active.
+#: Minimum number of targets of a client account that operators leave active.
 MIN_TARGETS = 2
 
-#: Reads that answer with an old version.
+#: Number of reads that return an old version in one fault.
 STALE_READ_COUNT = 6
 
-#: Bytes that a rogue target puts into others' flows.
+#: Bytes that a rogue target injects into flows of another client account.
 ROGUE_BYTES = 100
 
-#: Client accounts between which a server moves.
+#: Client accounts from which and to which a server moves.
 MOVES_FROM = "bundelpers"
 MOVES_TO = "inzendloket"
 
-#: Client account whose rate of new flows is cut, and flows a second that stay.
+#: Client account whose limit of new flows is lowered, and the lowered limit in flows a
+#: second.
 LIMITED_ACCOUNT = "inzendloket"
 LIMITED_RATE = 1.0
 
-#: Seconds for which a platform is away before it comes back from an older copy, and
-#: until operators make the next change after that.
+#: Seconds of outage before the platform is restored from a backup, and seconds until
+#: operators make the next change after that.
 OUTAGE_SECONDS = 0.5
 
-#: Seconds between two tries of an operator who moves a server.
+#: Seconds between two attempts of an operator who moves a server.
 MOVE_INTERVAL = 0.5
 
-#: Most targets an account grows to.
+#: Maximum number of targets of a client account.
 MAX_TARGETS = 12
 
 
 def apply_fault(run: Run, fault: Fault) -> None:
-    """Bring about one fault."""
+    """Inject one fault."""
     match fault.kind:
         case FaultKind.HOST_KILL:
             kill_host(run)
@@ -108,7 +109,7 @@
 
 
 def pick_host(run: Run) -> str | None:
-    """Return a running host that the others can do without."""
+    """Return a random running host, or None if too few would be left."""
     running = [
         host_id for host_id in run.network.hosts if host_id not in run.network.frozen
     ]
@@ -118,7 +119,7 @@
 
 
 def kill_host(run: Run) -> None:
-    """Kill a host; a process that knows nothing takes its place later."""
+    """Kill a host; a process without its state replaces it later."""
     host_id = pick_host(run)
     if host_id is None:
         return
@@ -127,7 +128,7 @@
 
 
 def join_host(run: Run) -> None:
-    """Start a host that was not there before."""
+    """Start a new host."""
     host = run.define_host(len(run.defined_hosts))
     run.start_host(host.host_id)
 
@@ -144,13 +145,13 @@
 
 
 def remove_from_fabric(run: Run, host_id: str) -> None:
-    """Let the fabric take a leaving host out."""
+    """Remove a leaving host from the fabric."""
     if host_id in run.network.fabric_hosts:
         run.network.fabric_hosts.remove(host_id)
 
 
 def freeze_host(run: Run, fault: Fault) -> None:
-    """Freeze a host; it wakes with what waited in its sockets."""
+    """Freeze a host; it resumes with the packets queued in its sockets."""
     host_id = pick_host(run)
     if host_id is None:
         return
@@ -162,13 +163,13 @@
 
 
 def active_targets(run: Run, account_id: str) -> list[str]:
-    """Return the listed targets of an account that nobody drained."""
+    """Return the listed targets of a client account that are not drained."""
     listed = [parameters["target_id"] for parameters in run.listed[account_id]]
     return [target_id for target_id in listed if target_id not in run.drained]
 
 
 def drain_target(run: Run) -> None:
-    """Have an operator drain a target."""
+    """Drain a target."""
     account_id = run.rng.choice(sorted(TARGETS_PER_ACCOUNT))
     active = active_targets(run, account_id)
     if len(active) <= MIN_TARGETS:
@@ -183,7 +184,7 @@
 
 
 def add_target(run: Run) -> None:
-    """Start a target and have an operator add it."""
+    """Start a target and add it to its client account."""
     account_id = run.rng.choice(sorted(TARGETS_PER_ACCOUNT))
     if run.next_number[account_id] < MAX_TARGETS:
         run.add_target(account_id)
@@ -193,7 +194,7 @@
 def put_account(
     run: Run, operator: Operator, account_id: str, rate: float | None = None
 ) -> PutAccount:
-    """Return the change that puts an account as it is listed, with other limits."""
+    """Return a change that puts a client account with its targets and a new limit."""
     parameters = account_parameters(account_id, 0)
     parameters["targets"] = list(run.listed[account_id])
     parameters["new_per_second"] = rate or float(run.rng.randint(5_000, 10_000))
@@ -201,14 +202,14 @@
 
 
 def change_limits(run: Run, account_id: str) -> None:
-    """Have an operator put an account with other limits."""
+    """Change the limit of new flows of a client account."""
     operator = run.make_operator(lambda: True)
     change = put_account(run, operator, account_id)
     run.submit(change.change_id, operator.commit(change), None)
 
 
 def cut_limit(run: Run, fault: Fault) -> None:
-    """Have an operator cut an account's rate of new flows for a while."""
+    """Lower the limit of new flows of a client account for a while."""
     operator = run.make_operator(lambda: True)
     change = put_account(run, operator, LIMITED_ACCOUNT, LIMITED_RATE)
     run.submit(change.change_id, operator.commit(change), None)
@@ -217,14 +218,14 @@
 
 
 def race_operators(run: Run) -> None:
-    """Have two operators change the same account at the same moment."""
+    """Start two concurrent changes of the same client account."""
     account_id = run.rng.choice(sorted(TARGETS_PER_ACCOUNT))
     change_limits(run, account_id)
     change_limits(run, account_id)
 
 
 def shed_target(run: Run, fault: Fault) -> None:
-    """Have a target refuse every new connection for a while."""
+    """Make a target refuse every new connection for a while."""
     stack = run.network.targets[run.rng.choice(sorted(run.network.targets))]
     stack.shedding = True
 
@@ -235,18 +236,18 @@
 
 
 def inject_foreign_answers(run: Run) -> None:
-    """Have a target answer flows of another client account, in their numbers."""
+    """Make a target answer flows of another client account with their numbers."""
     rogue = active_targets(run, "inzendloket")[0]
     for flow, connection in list(run.network.callers.connections.items()):
         if account_of(flow) == MOVES_FROM and connection.state is State.ESTABLISHED:
-            bytes_of_others = Segment(
+            foreign_answer = Segment(
                 ACK, connection.expected, connection.next_seq, b"x" * ROGUE_BYTES
             )
-            run.network.send_target_segments(rogue, [(flow, bytes_of_others)])
+            run.network.send_target_segments(rogue, [(flow, foreign_answer)])
 
 
 def move_target(run: Run) -> None:
-    """Have an operator move a server from one client account to the other."""
+    """Start to move a server from one client account to the other."""
     active = active_targets(run, MOVES_FROM)
     if len(active) <= MIN_TARGETS:
         return
@@ -259,16 +260,17 @@
 
 
 async def move_server(run: Run, operator: Operator, target_id: str) -> None:
-    """Move a server: unlist it, wait until it is empty, purge it, list it elsewhere.
+    """Move a server: unlist it, wait for its flows to end, purge it, list it again.
 
-    The operator gives up where the platform does; the refusals of the last step
-    say which zones have not confirmed that the address was let go.
+    The operator gives up if a call to the platform fails. The last step is repeated
+    while it is refused; a refusal names the zones that have not confirmed that they
+    released the address.
     """
     listed = run.listed[MOVES_FROM]
     [parameters] = [item for item in listed if item["target_id"] == target_id]
     listed.remove(parameters)
     await operator.commit(put_account(run, operator, MOVES_FROM))
-    # Until every host has heard, it may still get new flows.
+    # The server may get new flows until every host has applied the change.
     await sleep(MAX_APPLY_SECONDS)
     while run.network.targets[target_id].open_count:
         await sleep(MOVE_INTERVAL)
@@ -285,10 +287,10 @@
 async def list_moved_target(
     run: Run, operator: Operator, moved: Mapping[str, Any]
 ) -> bool:
-    """List a server at its new account; return whether the zones let it pass."""
+    """List a server at its new client account; return whether that was accepted."""
     change = put_account(run, operator, MOVES_TO)
     ip = Endpoint.from_text(moved["tunnel"]).ip
-    # The change is in force a little before the operator hears of it.
+    # Hosts may apply the change before the operator receives the answer.
     run.server_accounts[ip] = frozenset((MOVES_FROM, MOVES_TO))
     try:
         await operator.commit(change)
@@ -308,7 +310,7 @@
 
 
 def begin_outage(run: Run, fault: Fault) -> None:
-    """Take the platform away for a while."""
+    """Make the platform unavailable for a while."""
     now = run.network.now
     until = now + fault.until - fault.at
     run.platform.switches.outage = True
@@ -321,39 +323,39 @@
 
 
 def restore_platform(run: Run, fault: Fault) -> None:
-    """Have the platform come back from a copy without the change made meanwhile.
+    """Restore the platform from a backup that lacks the change made since.
 
-    Operators' processes remember what they have committed; one that starts then does
-    not.
+    Running processes of operators remember what they have committed; processes that
+    start after the restore do not.
     """
-    copy = run.platform.backup()
+    backup = run.platform.backup()
     account_id = run.rng.choice(sorted(TARGETS_PER_ACCOUNT))
     operator = run.make_operator(lambda: True)
     change = put_account(run, operator, account_id)
     run.submit(change.change_id, operator.commit(change), None)
     now = run.network.now
-    away_at, until = (
+    outage_at, until = (
         fault.until - OUTAGE_SECONDS,
         max(fault.until, now + OUTAGE_SECONDS),
     )
     run.history.add(Disturbed(now, until + OUTAGE_SECONDS, fault.kind.value, ""))
 
-    def leave() -> None:
+    def begin() -> None:
         run.platform.switches.outage = True
 
-    def come_back() -> None:
+    def end() -> None:
         run.platform.switches.outage = False
-        run.platform.restore(copy)
+        run.platform.restore(backup)
         for store in reversed(run.stores):
             start_coroutine(run.network, store.read_snapshot(), lambda finished: None)
         run.network.after(OUTAGE_SECONDS, lambda: change_limits(run, account_id))
 
-    run.network.after(max(0.0, away_at - now), leave)
-    run.network.after(until - now, come_back)
+    run.network.after(max(0.0, outage_at - now), begin)
+    run.network.after(until - now, end)
 
 
 def cut_zone(run: Run, fault: Fault) -> None:
-    """Cut a zone off from the other zones and from the platform."""
+    """Partition a zone from the other zones and from the platform."""
     zone = run.rng.choice(SYSTEM_ZONES)
     others = [other for other in (*SYSTEM_ZONES, "platform") if other != zone]
     cuts = {frozenset((zone, other)) for other in others}
--- a/citronspring/experiments/history.py
+++ b/citronspring/experiments/history.py
@@ -1,4 +1,4 @@
-"""The history of a run: what happened, in the order it happened."""
+"""The history of a run: its events in order."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEnded:
-    """A caller got its whole answer, a refusal, or lost its connection."""
+    """A caller received its complete answer or a refusal, or lost its connection."""
 
     at: float
     request_id: str
@@ -60,18 +60,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeAccepted:
-    """An operator was told that a change is accepted."""
+    """An operator received the acceptance of a change."""
 
     at: float
     change_id: str
     revision: int
-    #: The target that the change told to leave, if it did.
+    #: The target that the change drained, if any.
     drained: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeRefused:
-    """An operator was told that a change was not made."""
+    """An operator received the refusal of a change."""
 
     at: float
     change_id: str
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RevisionSeen:
-    """A host's revision became another one."""
+    """A host's revision changed."""
 
     at: float
     host_id: str
@@ -105,13 +105,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Disturbed:
-    """From ``at`` until ``until`` something kept hosts from hearing of changes."""
+    """From ``at`` until ``until`` a fault kept hosts from receiving changes."""
 
     at: float
     until: float
-    #: What it was, such as ``zone-cut``.
+    #: Kind of the fault, such as ``zone-cut``.
     kind: str
-    #: The zone or host it befell; empty for all.
+    #: The affected zone or host; empty for all.
     place: str
 
 
@@ -132,22 +132,22 @@
 
 @dataclass(slots=True)
 class History:
-    """Entries in the order they happened."""
+    """Entries in the order of the events."""
 
     entries: list[Entry] = field(default_factory=list)
-    #: Zone of each host that ever ran.
+    #: Zone of each host that was defined, by host id.
     zones: dict[str, str] = field(default_factory=dict)
 
     def add(self, entry: Entry) -> None:
-        """Note that something happened."""
+        """Append an entry."""
         self.entries.append(entry)
 
     def of(self, *kinds: type) -> list[Entry]:
-        """Return the entries of some kinds."""
+        """Return the entries of the given kinds, in order."""
         return [entry for entry in self.entries if isinstance(entry, kinds)]
 
     def counts(self) -> Counter[str]:
-        """Return how many entries there are of each kind, and each outcome."""
+        """Return the numbers of entries by kind and of requests by outcome."""
         counts = Counter(type(entry).__name__ for entry in self.entries)
         for entry in self.entries:
             if isinstance(entry, RequestEnded):
--- a/citronspring/experiments/run.py
+++ b/citronspring/experiments/run.py
@@ -1,4 +1,4 @@
-"""One run: real cores on the in-memory network, a platform, operators, callers."""
+"""One run: real decision cores on an in-memory network, with everything around them."""
 
 from __future__ import annotations
 
@@ -52,28 +52,29 @@
     from citronspring.messages import Action
     from citronspring.standins.service import Request
 
-#: Where the platform is, for cuts.
+#: Place and zone of the platform on the network, for partitions.
 PLATFORM = "platform"
 
-#: Seconds one way to the platform, at the least and at the most.
+#: Minimum and maximum one-way delay to the platform, in seconds.
 PLATFORM_DELAY = (0.001, 0.01)
 
-#: Seconds in which the last requests may end after the last fault.
+#: Maximum seconds to wait for the last requests after traffic ends.
 FINISH_TIMEOUT = 45.0
 
-#: Seconds after which the fabric has noticed that a host came or went.
+#: Seconds until the fabric detects that a host started or ended.
 FABRIC_LAG = 1.5
 
-#: Seconds between two looks at revisions and ended requests.
+#: Seconds between two observations of hosts, targets and requests.
 WATCH_INTERVAL = 0.05
 
-#: Boot times of successive processes lie this many milliseconds apart.
+#: Incarnations of host processes per second of virtual time: a process that starts a
+#: millisecond later has the next number.
 BOOT_STEP = 1000
 
 
 @dataclass(slots=True)
 class Run:
-    """The parts of one run and its history."""
+    """The state of one run, and its history."""
 
     scenario: Scenario
     rng: random.Random
@@ -81,31 +82,31 @@
     platform: MemoryPlatform
     history: History = field(default_factory=History)
     workload: Workload = field(init=False)
-    #: Every host ever described, by id.
+    #: All hosts that were defined, by id.
     defined_hosts: dict[str, Host] = field(default_factory=dict)
-    #: Revision last seen of each running host.
+    #: Last observed revision of each running host.
     revisions: dict[str, int] = field(default_factory=dict)
-    #: Connections each target had accepted when last looked at.
+    #: Number of connections that each target had accepted at the last observation.
     accepted_counts: dict[str, int] = field(default_factory=dict)
-    #: Version of the head that each reader's watch last answered with.
+    #: Version of the head in the last answer to each zone reader's watch.
     watched_versions: dict[str, int] = field(default_factory=dict)
     operators: int = 0
-    #: What each operator's process knows of the configuration, newest last.
+    #: Configuration store of each operator's process, newest last.
     stores: list[ConfigurationStore] = field(default_factory=list)
     #: Targets that an operator drained or is draining.
     drained: set[str] = field(default_factory=set)
-    #: Parameters of the targets that each client account lists.
+    #: Parameters of the listed targets of each client account.
     listed: dict[str, list[dict[str, Any]]] = field(default_factory=dict)
-    #: Client accounts whose packets each server may get, by tunnel address.
+    #: Client accounts whose packets each server may receive, by tunnel address.
     server_accounts: dict[str, frozenset[str]] = field(default_factory=dict)
     #: Number of the next target of each client account.
     next_number: Counter[str] = field(default_factory=Counter)
-    #: Revision that each reader last confirmed for its zone.
+    #: Revision that each zone reader last confirmed for its zone.
     confirmed: dict[str, int] = field(default_factory=dict)
 
     @classmethod
     def from_scenario(cls, scenario: Scenario) -> Run:
-        """Build the system of a scenario, not started yet."""
+        """Build the system of a scenario without starting it."""
         rng = random.Random(f"run {scenario.seed}")
         quality = LinkQuality(loss=scenario.loss, duplication=scenario.duplication)
         network = Network(rng, quality)
@@ -140,7 +141,7 @@
         self.watch()
 
     def define_host(self, index: int) -> Host:
-        """Describe a host that does not run yet."""
+        """Define a host without starting it."""
         ip = f"127.0.1.{index + 1}"
         sockets = [Endpoint(ip, port) for port in (6080, 6081, 6082)]
         zone = SYSTEM_ZONES[index % len(SYSTEM_ZONES)]
@@ -150,7 +151,7 @@
         return host
 
     def start_host(self, host_id: str) -> None:
-        """Start a host process that knows its settings and nothing else."""
+        """Start a host process that has only its settings."""
         host = self.defined_hosts[host_id]
         peers = [peer for peer in self.defined_hosts.values() if peer is not host]
         boot = 1 + int(self.network.now * BOOT_STEP)
@@ -165,23 +166,23 @@
         self.read_platform(host_id, 0)
 
     def add_to_fabric(self, host_id: str) -> None:
-        """Let the fabric notice a host."""
+        """Add a running host to the fabric."""
         if host_id in self.network.hosts and host_id not in self.network.fabric_hosts:
             self.network.fabric_hosts.append(host_id)
 
     def end_host(self, host_id: str) -> None:
-        """End a host process; the fabric notices later."""
+        """End a host process; the fabric detects it later."""
         self.network.kill_host(host_id)
         self.history.add(HostEnded(self.network.now, host_id))
         self.network.after(FABRIC_LAG, lambda: self.remove_from_fabric(host_id))
 
     def remove_from_fabric(self, host_id: str) -> None:
-        """Let the fabric notice that a host is gone."""
+        """Remove an ended host from the fabric."""
         if host_id in self.network.fabric_hosts and host_id not in self.network.hosts:
             self.network.fabric_hosts.remove(host_id)
 
     def add_target(self, account_id: str) -> None:
-        """Start a server and list it as the account's next target."""
+        """Start a server and list it as the client account's next target."""
         number = self.next_number[account_id]
         self.next_number[account_id] += 1
         parameters = target_parameters(account_id, number, SYSTEM_ZONES)
@@ -199,7 +200,7 @@
     # Operators and readers ----------------------------------------------------
 
     def make_operator(self, reachable: Callable[[], bool]) -> Operator:
-        """Return an operator with a store of their own."""
+        """Return an operator with a separate configuration store."""
         self.operators += 1
         store = self.make_store(reachable)
         self.stores.append(store)
@@ -208,7 +209,7 @@
         )
 
     def platform_for(self, reachable: Callable[[], bool]) -> DelayedPlatform:
-        """Return the platform as one process reaches it."""
+        """Return the platform as seen by one process."""
         return DelayedPlatform(
             self.platform, lambda: self.rng.uniform(*PLATFORM_DELAY), reachable
         )
@@ -216,7 +217,7 @@
     def submit(
         self, change_id: str, commit: Coroutine[None, None, object], drained: str | None
     ) -> None:
-        """Run an operator's commit and note what they are told."""
+        """Run an operator's commit and record its outcome."""
 
         def done(finished: CoroutineResult) -> None:
             now = self.network.now
@@ -232,7 +233,7 @@
         start_coroutine(self.network, commit, done)
 
     def read_platform(self, host_id: str, revision: int) -> None:
-        """Read what is newer than a revision, for a host that asks."""
+        """Read the changes after a revision for a host."""
         core = self.network.hosts[host_id]
 
         def reachable() -> bool:
@@ -253,7 +254,7 @@
     # Watching -----------------------------------------------------------------
 
     def observe(self, host_id: str, action: Action) -> None:
-        """Note a packet that goes to a server of another client account."""
+        """Record a packet that is sent to a server of another client account."""
         if not isinstance(action, SendToTarget):
             return
         core = self.network.hosts[host_id]
@@ -268,13 +269,13 @@
             self.history.add(entry)
 
     def perform(self, host_id: str, action: Action) -> None:
-        """Do what a core asks for beside packets and messages."""
+        """Perform the actions of a core other than packets and messages."""
         match action:
             case ReadPlatform():
                 self.read_platform(host_id, action.revision)
 
     def watch(self) -> None:
-        """Note revisions, new work and ended requests; again a moment later."""
+        """Record revisions, new work and ended requests, and schedule the next time."""
         for host_id, core in list(self.network.hosts.items()):
             revision = core.tables.revision
             if revision != self.revisions[host_id]:
@@ -293,7 +294,7 @@
         self.network.after(WATCH_INTERVAL, self.watch)
 
     def watch_head(self, host_id: str, core: Balancer) -> None:
-        """Answer a reader's watch once the head of the configuration changed."""
+        """Answer a zone reader's watch if the head of the configuration changed."""
         version = self.platform.current_version(HEAD_KEY)
         if (
             not core.tables.replication.is_reader
@@ -308,7 +309,7 @@
             self.read_platform(host_id, core.tables.revision)
 
     def confirm_zone(self, host_id: str, core: Balancer) -> None:
-        """Have a reader tell the platform what its zone is at."""
+        """Confirm the zone's revision to the platform on behalf of its reader."""
         tables = core.tables
         revision = zone_revision(tables)
         reachable = self.network.is_connected(host_id, PLATFORM)
@@ -328,12 +329,12 @@
             start_coroutine(self.network, confirmation, done)
 
     def make_store(self, reachable: Callable[[], bool]) -> ConfigurationStore:
-        """Return a store of one process, which knows nothing yet."""
+        """Return the configuration store of a new process, without cached state."""
         platform = self.platform_for(reachable)
         return ConfigurationStore.from_platform(platform, SYSTEM_ZONES, run_in_place)
 
     def run(self) -> History:
-        """Run the scenario to its end; return the history."""
+        """Run the scenario to its end and return the history."""
         self.start()
         begin = self.network.now
         end = begin + self.scenario.duration
@@ -341,11 +342,11 @@
             delay = fault.at
             self.network.after(delay, lambda fault=fault: apply_fault(self, fault))
         self.network.run_until(begin + 2.0)
-        self.workload.arrive(end, self.scenario.arrivals)
+        self.workload.schedule_arrivals(end, self.scenario.arrivals)
         return self.finish(end)
 
     def finish(self, end: float) -> History:
-        """Let traffic go on until its end, then wait for the last requests."""
+        """Run until traffic ends, then wait for the last requests."""
         self.network.run_until(end)
         limit = end + FINISH_TIMEOUT
         while self.workload.unfinished and self.network.now < limit:
@@ -362,7 +363,7 @@
 async def read_newer(
     store: ConfigurationStore, revision: int, asked_at: float
 ) -> SnapshotRead | RecordsRead:
-    """Read records after a revision, or everything if they are forgotten."""
+    """Read the records after a revision, or a snapshot if they are no longer kept."""
     if revision:
         records = await store.read_records(revision)
         if records is not None:
--- a/citronspring/experiments/scenario.py
+++ b/citronspring/experiments/scenario.py
@@ -1,4 +1,4 @@
-"""What befalls a run: faults and changes, drawn from a seed."""
+"""Scenarios of runs: sizes, links, faults and changes, chosen by a seed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FaultKind(Enum):
-    """What can befall a run."""
+    """Kinds of faults and changes in a run."""
 
     HOST_KILL = "host-kill"
     TARGET_DRAIN = "target-drain"
@@ -30,7 +30,7 @@
     PLATFORM_RESTORE = "platform-restore"
 
 
-#: Faults of which every pair must meet in some run.
+#: Kinds of which every pair must occur together in some run.
 PAIRED_KINDS = (
     FaultKind.HOST_KILL,
     FaultKind.TARGET_DRAIN,
@@ -41,8 +41,8 @@
     FaultKind.OPERATOR_RACE,
 )
 
-#: Faults that a run gets besides, up to three of them. A return from an older copy is
-#: not drawn, so that seeds go on meaning what they did.
+#: Kinds of the up to three additional faults of a run. A restore of the platform is
+#: left out, so that existing seeds keep choosing the same faults.
 EXTRA_KINDS = tuple(
     kind
     for kind in FaultKind
@@ -50,53 +50,53 @@
     not in (FaultKind.TARGET_MOVE, FaultKind.LIMIT_CUT, FaultKind.PLATFORM_RESTORE)
 )
 
-#: Share of runs in which a target moves from one client account to another, and
-#: of runs in which an operator cuts an account's rate of new flows.
+#: Share of runs in which a target moves from one client account to another, and of runs
+#: in which an operator lowers a client account's limit of new flows.
 MOVE_SHARE = 0.3
 LIMIT_SHARE = 0.2
 
-#: Every unordered pair, a kind with itself included: anything may come twice.
+#: Every unordered pair, including a kind with itself: any fault may occur twice.
 PAIRS = tuple(itertools.combinations_with_replacement(PAIRED_KINDS, 2))
 
-#: Seconds that a fault with an end lasts at the least and at the most.
+#: Minimum and maximum length in seconds of a fault that has an end.
 MIN_FAULT_SECONDS = 1.0
 MAX_FAULT_SECONDS = 6.0
 
-#: Seconds between the two faults of the pair at the most.
+#: Maximum seconds between the two faults of the pair.
 MAX_PAIR_GAP = 2.0
 
-#: Seconds at the start without faults, so that membership has formed.
+#: Seconds at the start without faults, in which membership forms.
 FAULT_FREE_START = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing that befalls a run."""
+    """A scheduled fault or change."""
 
     at: float
     kind: FaultKind
-    #: End of a fault that has one.
+    #: End of the fault, for kinds that have one.
     until: float
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A run: its sizes, its links, its faults in the order of their times."""
+    """Parameters of a run: sizes, links, and faults in order of time."""
 
     seed: int
-    #: Seconds during which requests arrive and faults come.
+    #: Seconds during which requests arrive and faults begin.
     duration: float
     hosts: int
     #: Requests a second.
     arrivals: float
-    #: Share of packets lost, and of packets that arrive twice.
+    #: Share of packets that are lost, and share that are duplicated.
     loss: float
     duplication: float
     faults: tuple[Fault, ...] = field(default_factory=tuple)
 
     @classmethod
     def from_seed(cls, seed: int, duration: float = 16.0) -> Scenario:
-        """Draw a run; the pair of faults is a function of the seed alone."""
+        """Choose a random scenario; the pair of faults follows from the seed alone."""
         rng = random.Random(seed)
         first, second = PAIRS[seed % len(PAIRS)]
         start = rng.uniform(FAULT_FREE_START, duration / 2)
--- a/citronspring/experiments/workload.py
+++ b/citronspring/experiments/workload.py
@@ -1,4 +1,4 @@
-"""The callers of a run: requests of every kind, each on a connection of its own."""
+"""Callers of a run: requests of every kind, each on a separate connection."""
 
 from __future__ import annotations
 
@@ -22,30 +22,32 @@
 CALLER_IP = "198.51.100.1"
 FIRST_PORT = 1024
 
-#: Bytes of the shortest and the longest body, and bytes a second it goes at.
+#: Minimum and maximum body size in bytes, and the rate in bytes a second at which a
+#: body is sent.
 MIN_BODY_BYTES = 200
 MAX_BODY_BYTES = 16_000
 BODY_RATE = 2_000.0
 
-#: Place in a flow key of the last byte of the service address, which tells accounts.
+#: Index in a flow key of the last byte of the service address, which identifies the
+#: client account.
 SERVICE_BYTE = 4
 
-#: Share of requests that go in one datagram.
+#: Share of requests that are sent in one datagram.
 DATAGRAM_SHARE = 0.2
 
-#: Share of requests that last through most of a run.
+#: Share of requests that last for most of a run, and their body size in bytes.
 LONG_SHARE = 0.1
 LONG_BODY_BYTES = 30_000
 
 
 def account_of(flow: FlowKey) -> str:
-    """Return the client account whose service address a flow has."""
+    """Return the client account of a flow's service address."""
     return list(TARGETS_PER_ACCOUNT)[flow[SERVICE_BYTE] - 1]
 
 
 @dataclass(slots=True)
 class Workload:
-    """Opens requests and notes how they end."""
+    """Starts requests and records how they end."""
 
     network: Network
     history: History
@@ -54,18 +56,18 @@
     addresses: dict[str, str]
     port: int
     opened: dict[FlowKey, Request] = field(default_factory=dict)
-    #: Flows whose end is noted.
+    #: Flows whose end is recorded.
     ended: set[FlowKey] = field(default_factory=set)
 
-    def arrive(self, until: float, per_second: float) -> None:
-        """Open a request now, and go on until a time."""
+    def schedule_arrivals(self, until: float, per_second: float) -> None:
+        """Start a request now, and schedule further ones until a time."""
         self.open()
         gap = self.rng.expovariate(per_second)
         if self.network.now + gap < until:
-            self.network.after(gap, lambda: self.arrive(until, per_second))
+            self.network.after(gap, lambda: self.schedule_arrivals(until, per_second))
 
     def open(self) -> None:
-        """Open one request of some kind at some client account."""
+        """Start one request of a random kind at a random client account."""
         account_id = self.rng.choice(sorted(self.addresses))
         number = len(self.opened)
         protocol = Protocol.TCP
@@ -90,7 +92,7 @@
             self.network.start_request(flow, request)
 
     def random_request(self, request_id: str) -> Request:
-        """Return a request of some kind and length."""
+        """Return a request of random kind and size."""
         kind = self.rng.choice(list(RequestKind))
         size = self.rng.randint(MIN_BODY_BYTES, MAX_BODY_BYTES)
         if self.rng.random() < LONG_SHARE:
@@ -98,14 +100,14 @@
         return Request(request_id, kind, size, BODY_RATE)
 
     def record_ends(self) -> None:
-        """Note the requests that ended since the last call."""
+        """Record the requests that ended since the last call."""
         for sessions in self.all_sessions():
             for flow, session in list(sessions.items()):
                 if session.outcome is not None and flow not in self.ended:
                     self.record_end(sessions, flow, session.outcome)
 
     def all_sessions(self) -> tuple[dict[FlowKey, CallerSession], ...]:
-        """Return the sessions over TCP and those over datagrams."""
+        """Return the TCP sessions and the datagram sessions by flow."""
         network = self.network
         return network.callers.sessions, network.datagram_callers.sessions
 
@@ -115,7 +117,7 @@
         flow: FlowKey,
         outcome: Outcome,
     ) -> None:
-        """Note how one request ended."""
+        """Record how one request ended."""
         self.ended.add(flow)
         session = sessions.pop(flow)
         detail = session.refusal or " ".join(session.endings)
@@ -126,11 +128,11 @@
 
     @property
     def unfinished(self) -> int:
-        """Requests over TCP that have not ended."""
+        """Number of TCP requests that have not ended."""
         return len(self.network.callers.sessions)
 
     def end_unfinished(self) -> None:
-        """Note connections that never ended as broken, and lost datagrams."""
+        """Record open TCP requests as broken and open datagrams as unanswered."""
         streams, datagrams = self.all_sessions()
         for flow in list(streams):
             self.record_end(streams, flow, Outcome.BROKEN)
