--- a/tests/test_experiments/__init__.py
+++ b/tests/test_experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of experiments."""
+"""Tests that run experiments."""
--- a/tests/test_experiments/mutants.py
+++ b/tests/test_experiments/mutants.py
@@ -1,4 +1,4 @@
-"""Safeguards taken out on purpose, each with the promise that it keeps."""
+"""Mutants: each removes a safeguard and names the guarantee that it violates."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def cascading_failures(seed):
-    """Return a run in which targets drain and their flows lose owner after owner."""
+    """Return a scenario in which targets are drained and owners are killed in a row."""
     drains = [(4.0 + 0.2 * step, FaultKind.TARGET_DRAIN) for step in range(4)]
     kills = [(6.0 + 0.8 * step, FaultKind.HOST_KILL) for step in range(8)]
     faults = tuple(Fault(at, kind, at + 1.0) for at, kind in (*drains, *kills))
@@ -31,18 +31,18 @@
 
 
 def repeated_partitions(seed):
-    """Return a run in which views differ all the time."""
+    """Return a scenario in which the hosts' states differ throughout."""
     cuts = [(4.0 + 2.0 * step, FaultKind.ZONE_CUT) for step in range(5)]
     freezes = [(5.0 + 2.0 * step, FaultKind.HOST_FREEZE) for step in range(5)]
     faults = tuple(Fault(at, kind, at + 2.5) for at, kind in (*cuts, *freezes))
     return Scenario(seed, 16.0, 6, 30.0, 0.02, 0.0, faults)
 
 
-def mutant(promise, scenario=Scenario.from_seed):
-    """Name the promise that breaks without a safeguard, and the runs that show it."""
+def mutant(guarantee, scenario=Scenario.from_seed):
+    """Register a mutant with its violated guarantee and the scenarios that show it."""
 
     def register(function):
-        MUTANTS[function.__name__] = (promise, scenario, function)
+        MUTANTS[function.__name__] = (guarantee, scenario, function)
         return function
 
     return register
@@ -50,7 +50,7 @@
 
 @mutant("unbroken flows")
 def no_flow_search(patch):
-    """An owner that does not know a flow resets it."""
+    """An owner resets a flow that it does not know, without a flow search."""
 
     def reset(tables, account, packet, now, actions, **kwargs):
         flags = (packet.flow, False, RST, packet.ack, 0, 0, b"")
@@ -61,7 +61,7 @@
 
 @mutant("unbroken flows")
 def reset_without_certainty(patch):
-    """The first candidate's reset is passed on."""
+    """The reset of the first target that a flow search asks is forwarded."""
 
     def pass_on(tables, search_row, target, packet, now, actions):
         del tables.searches[packet.flow]
@@ -72,7 +72,7 @@
 
 @mutant("unbroken flows", cascading_failures)
 def flow_search_skips_leaving_targets(patch):
-    """A flow on a leaving target is not found once its owner is lost."""
+    """A flow on a leaving target is not found after its owner is lost."""
     search = placement.possible_targets
 
     def only_active(flow, account):
@@ -84,7 +84,7 @@
 
 @mutant("unbroken flows", repeated_partitions)
 def unverified_bindings_are_trusted(patch):
-    """A binding by hearsay counts as proved, so its target's reset is passed on."""
+    """An unverified binding counts as verified, so its target's reset is forwarded."""
 
     def believe(tables, row, packet, now, actions):
         answers.answer_established(tables, row, packet, now, actions)
@@ -94,7 +94,7 @@
 
 @mutant("leaving targets")
 def leaving_targets_take_new_flows(patch):
-    """A drained target stays in the window for new flows."""
+    """A leaving target stays in the placement window."""
 
     def window(flow, account, now):
         return placement.rank_targets(flow, account.targets)[
@@ -106,7 +106,7 @@
 
 @mutant("isolated accounts")
 def placement_ignores_accounts(patch):
-    """New flows are placed on any account's targets."""
+    """New flows are placed on the targets of any client account."""
 
     def window(flow, account, now):
         everything = [row for other in accounts_seen for row in other.targets]
@@ -125,10 +125,10 @@
 
 @mutant("isolated accounts")
 def unconfirmed_moves_are_allowed(patch):
-    """A server moves to another account before every zone has let it go.
+    """A server moves to another client account before all zones have released it.
 
-    With the fence gone as well, a host that slept through the change wakes and
-    sends the packets that waited to the server, which is another account's now.
+    The fence is removed as well: a host that was frozen during the change resumes and
+    sends its queued packets to the server, which now belongs to the other account.
     """
     patch(store, "refuse_unconfirmed", lambda releases, confirmed: None)
     patch(fence, "check_clock", lambda tables, now, actions: None)
@@ -136,7 +136,7 @@
 
 @mutant("revisions never fall")
 def records_are_applied_out_of_order(patch):
-    """A record that was late or sent twice replaces a newer configuration."""
+    """A late or repeated record replaces a newer configuration."""
 
     def take(tables, records, now):
         for record in records:
@@ -149,14 +149,14 @@
 
 @mutant("changes in force")
 def no_replication(patch):
-    """Only the readers hear of changes."""
+    """Only zone readers receive changes."""
     patch(replication, "push", lambda tables, actions: None)
     patch(replication, "ask_for_records", lambda *arguments: None)
 
 
 @mutant("whole own answers")
 def answers_are_not_verified(patch):
-    """Answers are not held against the flow's account and target."""
+    """Answers are not checked against the flow's client account and target."""
     receive = routing.receive_packet
 
     def trust(tables, event, now, actions):
@@ -169,7 +169,7 @@
 
 
 def handle_unanswered_datagrams_by(patch, act):
-    """Have datagrams that are not answered soon handled by another function."""
+    """Handle openings by datagram that time out with ``act``."""
     queue = []
     expire = openings.expire_openings
 
@@ -188,19 +188,19 @@
 
 @mutant("at most once")
 def unanswered_datagrams_are_retried(patch):
-    """A datagram that is not answered soon goes to another target."""
+    """A datagram that times out is sent to another target."""
     handle_unanswered_datagrams_by(patch, openings.retry_opening)
 
 
 @mutant("not run means not run")
 def unanswered_datagrams_are_refused(patch):
-    """A datagram that is not answered soon is refused, though it may have run."""
+    """A datagram that times out is refused, although it may have run."""
     handle_unanswered_datagrams_by(patch, openings.refuse_opening)
 
 
 @mutant("refused at once")
 def refusals_are_delayed(patch):
-    """A refusal goes out seven seconds late."""
+    """A refusal is sent seven seconds late."""
     refuse = Network.refuse
 
     def later(self, host_id, action):
--- a/tests/test_experiments/test_campaign.py
+++ b/tests/test_experiments/test_campaign.py
@@ -1,4 +1,4 @@
-"""Fixed seeds of whole runs under faults: every promise holds in each."""
+"""Fixed seeds of runs under faults, each without a violation."""
 
 from __future__ import annotations
 
@@ -7,24 +7,25 @@
 from citronspring.experiments.report import KEPT_SEEDS, run_seeds
 from citronspring.experiments.scenario import PAIRS, Scenario
 
-#: Seeds that CI runs; `citronspring experiment` runs as many more as wanted.
+#: Number of seeds that CI runs; `citronspring experiment` can run more.
 SEEDS = 200
 CHUNK = 20
 
 
 @pytest.mark.parametrize("first", range(0, SEEDS, CHUNK))
 def test_every_guarantee_holds_under_faults(first):
-    """Callers see whole answers or prompt refusals while faults come in pairs.
+    """Callers get complete answers or prompt refusals while pairs of faults overlap.
 
-    Hosts die, freeze and join, zones are cut, the platform is out or stale or loses
-    answers, operators race, targets drain, shed and move between client accounts.
+    Hosts are killed, freeze and join, zones are partitioned, the platform is
+    unavailable, stale or loses answers, operators make concurrent changes, targets
+    drain, shed load and move between client accounts.
     """
     campaign = run_seeds(range(first, first + CHUNK))
-    broken = {
+    violations = {
         result.seed: [str(item) for item in result.violations]
         for result in campaign.failed
     }
-    assert broken == {}
+    assert violations == {}
     totals = campaign.totals()
     assert totals["requests whole"] > 0.8 * totals["RequestOpened"]
 
@@ -35,11 +36,11 @@
 
 
 def test_fixed_seeds_cover_every_pair_of_faults():
-    drawn = set()
+    seen = set()
     for seed in range(SEEDS):
         kinds = [fault.kind for fault in Scenario.from_seed(seed).faults]
-        drawn |= {pair for pair in PAIRS if set(pair) <= set(kinds)}
-    assert drawn == set(PAIRS)
+        seen |= {pair for pair in PAIRS if set(pair) <= set(kinds)}
+    assert seen == set(PAIRS)
 
 
 def test_seed_determines_the_run():
--- a/tests/test_experiments/test_mutants.py
+++ b/tests/test_experiments/test_mutants.py
@@ -1,7 +1,7 @@
-"""Each promise has a safeguard without which the checker finds it broken.
+"""Each guarantee has a safeguard without which the checker detects a violation.
 
-The campaign shows that the real system keeps every promise; here one safeguard after
-the other is taken out, and the checker must notice.
+The campaign shows that the real system violates no guarantee. Here each safeguard is
+removed in turn, and the checker must detect it.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 from citronspring.experiments.report import run_scenario
 from tests.test_experiments.mutants import MUTANTS
 
-#: Runs within which the checker must notice that a safeguard is gone.
+#: Number of seeds within which the checker must detect a missing safeguard.
 MAX_SEEDS = 120
 
 
-def first_violation(scenario, promise):
-    """Return the first run that breaks a promise."""
+def first_violation(scenario, guarantee):
+    """Return the first scenario that violates a guarantee."""
     for seed in range(MAX_SEEDS):
         result = run_scenario(scenario(seed))
-        if promise in [violation.guarantee for violation in result.violations]:
+        if guarantee in [violation.guarantee for violation in result.violations]:
             return result.scenario
-    raise AssertionError(f"{MAX_SEEDS} runs kept the promise: {promise}")
+    raise AssertionError(f"{MAX_SEEDS} runs without a violation of: {guarantee}")
 
 
 @pytest.mark.parametrize("name", sorted(MUTANTS))
 def test_checker_detects_missing_safeguard(name, monkeypatch):
-    """The same run is made without the safeguard, and with it.
+    """The same scenario runs without the safeguard and with it.
 
-    Without it, callers see what the promise forbids, and the checker names that
-    promise. With it every promise holds.
+    Without it the checker reports a violation of the safeguard's guarantee. With it
+    there is no violation.
     """
-    promise, scenario, mutate = MUTANTS[name]
+    guarantee, scenario, mutate = MUTANTS[name]
     mutate(monkeypatch.setattr)
-    broken = first_violation(scenario, promise)
+    failing = first_violation(scenario, guarantee)
     monkeypatch.undo()
-    assert [str(item) for item in run_scenario(broken).violations] == []
+    assert [str(item) for item in run_scenario(failing).violations] == []
 
 
 def test_every_guarantee_has_a_mutant():
-    assert {promise for promise, _, _ in MUTANTS.values()} == set(GUARANTEES)
+    assert {guarantee for guarantee, _, _ in MUTANTS.values()} == set(GUARANTEES)
--- a/tests/test_experiments/test_restores.py
+++ b/tests/test_experiments/test_restores.py
@@ -1,4 +1,4 @@
-"""Whole runs in which the key-value service comes back from an older copy."""
+"""Runs in which the key-value service is restored from a backup."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from citronspring.experiments.report import run_scenario
 from citronspring.experiments.scenario import Fault, FaultKind, Scenario
 
-#: Times of the returns, among the faults that a seed draws.
+#: Start and end times of the restores, in addition to the random faults.
 RESTORES = ((5.0, 7.0), (9.0, 10.0), (12.0, 16.0))
 
 
@@ -22,5 +22,5 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_guarantees_hold_when_the_platform_is_restored(seed):
-    """Accepted changes are lost; the next ones get revisions given out before."""
+    """Accepted changes are lost, and later changes reuse their revisions."""
     assert [str(item) for item in run_scenario(scenario(seed)).violations] == []
