--- a/citronspring/tokens/change_feed.py
+++ b/citronspring/tokens/change_feed.py
@@ -102,15 +102,12 @@
         return NOT_CURRENT, b"not current\n"
     if epoch_of(poll.after_revision) != epoch_of(reader.revision):
         # One of the two may hold state that the restored store never had.
-        return (
-            TOO_FAR_BEHIND,
-            b"revision belongs to another restore epoch of the store\n",
-        )
+        return TOO_FAR_BEHIND, b"of another epoch of the store\n"
     if poll.after_revision < tables.change_log.compacted_revision:
-        return TOO_FAR_BEHIND, b"revision is older than the change log\n"
+        return TOO_FAR_BEHIND, b"further behind than what is kept\n"
     skipped_from, skipped_to = tables.change_log.skipped
     if skipped_from < poll.after_revision < skipped_to:
-        return TOO_FAR_BEHIND, b"revision is in a range that a list has skipped\n"
+        return TOO_FAR_BEHIND, b"a list has skipped what is known there\n"
     changes = changes_above(tables.change_log, poll.after_revision)
     confirmed = reader.current_at > poll.asked_at
     if not changes and not confirmed and now < poll.deadline:
--- a/citronspring/tokens/peer_snapshot.py
+++ b/citronspring/tokens/peer_snapshot.py
@@ -31,7 +31,7 @@
 def encode_snapshot(tables: Tables, now: float) -> tuple[int, bytes]:
     """Return status and body for a peer that requests a snapshot."""
     if tables.configuration == 0:
-        return NO_CONFIGURATION, b"this host has no configuration yet\n"
+        return NO_CONFIGURATION, b"no configuration is known here\n"
     rows = [row for row in tables.targets.values() if row.gone_at > now]
     body = {
         "format": FORMAT_VERSION,
