--- a/citronspring/events.py
+++ b/citronspring/events.py
@@ -40,7 +40,7 @@
     "leaving",
     Level.INFO,
     "The host is leaving: it accepts no new flows and serves the open ones "
-    "until they end or the deadline passes.",
+    "until no packets arrive for it any more or the deadline passes.",
 )
 SIGNAL = Event(103, "signal", Level.INFO, "A signal was received.")
 STATE_DUMP = Event(
--- a/citronspring/settings.py
+++ b/citronspring/settings.py
@@ -313,7 +313,9 @@
         for key, section in self.host_sections():
             ip = section.control.ip
             if not self.control.has_key and not ip_address(ip).is_loopback:
-                remedy = f"{key}.control is not on loopback: configure one common key"
+                remedy = (
+                    f"{key}.control is not on loopback: give all hosts the same key"
+                )
                 raise cross_key_error("control.key_file", "", remedy)
         return self
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -53,7 +53,7 @@
 WRONG = [
     ("host.zoen", "x", "did you mean zone"),
     ("hots", {}, "did you mean host"),
-    ("control", {}, "not on loopback: configure one common key"),
+    ("control", {}, "not on loopback: give all hosts the same key"),
     ("control", {"key": "00", "key_file": "x"}, "either key or key_file"),
     ("control", {"previous_key": "00"}, "the key in use"),
     ("limits.leave_seconds", "30s", "seconds as a plain number"),
