--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -95,7 +95,7 @@
     live_hosts: dict[str, Host] = field(default_factory=dict)
     #: All cores started so far, also those of stopped hosts, for their counters.
     cores: list[Balancer] = field(default_factory=list)
-    #: Virtual time at which each leaving target was told to leave.
+    #: Virtual time at which each leaving target started to leave.
     leave_requested_at: dict[str, float] = field(default_factory=dict)
     #: Hosts and targets started so far; the next ones get these indexes.
     host_count: int = 0
@@ -212,7 +212,7 @@
         self.network.after(FABRIC_LAG, lambda: spray.append(host.host_id))
 
     def leave_host(self) -> None:
-        """Tell a random host to leave; other hosts and the fabric are updated later.
+        """Let a random host leave; other hosts and the fabric are updated later.
 
         The host serves until it is idle or `LEAVE_TIMEOUT` has passed.
         """
--- a/citronspring/entities.py
+++ b/citronspring/entities.py
@@ -52,7 +52,7 @@
     #: Its health and load endpoint, if it has one.
     health: Endpoint | None = None
     added_revision: int = 0
-    #: Revision at which it was told to leave; None while it takes new flows.
+    #: Revision that marked it as leaving; None while it takes new flows.
     leaving_revision: int | None = None
 
     @property
--- a/citronspring/load_rows.py
+++ b/citronspring/load_rows.py
@@ -27,7 +27,7 @@
         """Return the time from which one more event is admitted.
 
         `admit` compares with exactly this value. If the two computed it separately,
-        rounding could refuse a caller that comes back at the time it was given.
+        rounding could refuse a caller that retries at the time it was given.
         """
         return self.arrival_at - burst / per_second
 
--- a/citronspring/messages.py
+++ b/citronspring/messages.py
@@ -208,7 +208,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Tell the caller immediately that its opening was refused and nothing was run."""
+    """Refuse an opening immediately: the caller learns that nothing was run."""
 
     packet: Packet
     reason: RefusalReason
--- a/citronspring/systems/binding.py
+++ b/citronspring/systems/binding.py
@@ -16,7 +16,7 @@
 TIME_WAIT = 60.0
 
 #: Seconds for which a backup binding of a TCP flow is kept. A flow search finds the
-#: flow without it, and the backup host is not told when the flow ends.
+#: flow without it, and the backup host is not notified when the flow ends.
 BACKUP_LIFETIME = 30.0
 
 TCP = 6
--- a/citronspring/systems/limits.py
+++ b/citronspring/systems/limits.py
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from citronspring.tables import AccountRow, Tables, TargetRow
 
-#: Seconds after which a refused caller is told to come back, unless the reason of the
-#: refusal gives a time.
+#: Seconds after which a refused caller may retry, unless the reason of the refusal
+#: gives a time.
 RETRY_AFTER = 2.0
 
 #: New flows a client account may open at once beyond its rate, in seconds of rate.
@@ -160,7 +160,7 @@
 
     A host that uses up to half of its share lends half of the rest. One that needs more
     lends nothing: it reports its whole share, or what it holds beyond it, which also
-    tells the peers that the quota is contended.
+    shows the peers that the quota is contended.
     """
     share = connection_share(tables, account, tables.host_id)
     use = account.open_flows
--- a/citronspring/systems/openings.py
+++ b/citronspring/systems/openings.py
@@ -171,7 +171,7 @@
 
 
 def refused_until(account: AccountRow, reason: RefusalReason, now: float) -> float:
-    """Return when a caller may come back that was refused for lack of a target."""
+    """Return when a caller that was refused for lack of a target may retry."""
     if reason is RefusalReason.NO_HEALTHY_TARGET:
         return next_trial_at(account, now) or now + RETRY_AFTER
     return now + RETRY_AFTER
--- a/citronspring/systems/ownership.py
+++ b/citronspring/systems/ownership.py
@@ -41,7 +41,7 @@
 
     If both the old and the new owner counted a flow, its target would look fuller than
     it is and get fewer new flows. A backup is counted only when a packet shows that the
-    flow is live: the backup host is not told of flows that ended, and counting all of
+    flow is live: the backup host is not notified when flows end, and counting all of
     them at once would make the account look full.
     """
     if row.state in COUNTED_STATES and not is_owner(tables, flow):
--- a/citronspring/systems/relays.py
+++ b/citronspring/systems/relays.py
@@ -65,7 +65,7 @@
 
 
 def bind_message(event: RelayReceived, target: TargetRow) -> Relay:
-    """Return the message that tells the sender of a relay which target has the flow."""
+    """Return the message to the sender of a relay with the target of the flow."""
     target_id = target.target.target_id
     return Relay(RelayKind.BIND, event.sender, event.flow, target_id=target_id)
 
--- a/citronspring/systems/replication.py
+++ b/citronspring/systems/replication.py
@@ -114,7 +114,7 @@
 
 
 def is_isolated(tables: Tables, now: float) -> bool:
-    """Whether no peer could have told this host of a change for a while."""
+    """Whether no peer could have sent this host a change for a while."""
     heard_at = tables.membership.heard_at
     started_at = tables.membership.started_at
     last = started_at if heard_at is None else heard_at
--- a/citronspring/tokens/forwarding.py
+++ b/citronspring/tokens/forwarding.py
@@ -195,7 +195,7 @@
 ) -> ResetReason | None:
     """Return why a flow must be reset, None if it may continue.
 
-    Only flows whose requests may run twice are reset, as a reset does not tell the
+    Only flows whose requests may run twice are reset, as a reset does not show the
     caller whether its request has run.
     """
     if not flow.idempotent or not packet.length:
--- a/citronspring/tokens/inquiry.py
+++ b/citronspring/tokens/inquiry.py
@@ -54,7 +54,7 @@
 INQUIRY_PAUSE = 0.3
 
 #: Share of the queried hosts that must reply. A zone reader that is partly partitioned,
-#: or whose link is saturated, hears from fewer and issues no verdict.
+#: or whose link is saturated, gets fewer replies and issues no verdict.
 QUORUM = 2 / 3
 
 #: Seconds after a host's last poll of the change feed for which it counts as a member
--- a/soak/hosts.py
+++ b/soak/hosts.py
@@ -50,7 +50,7 @@
     paused: bool = False
     #: Start count when its state was last requested, and the answer.
     last_state: tuple[int, dict[str, Any] | None] = (0, None)
-    #: The process has been told to end and has not been started again.
+    #: The process has received a stop signal and has not been started again.
     stopping: bool = False
 
     @property
--- a/tests/test_systems/test_binding.py
+++ b/tests/test_systems/test_binding.py
@@ -164,7 +164,7 @@
 
     This host still considers itself the owner and has placed the SYN; the new owner
     proposes another target. The first placement is kept, as the caller may have its
-    answer, unless that target has been told to leave since.
+    answer, unless that target has started to leave since.
     """
     core = driver.make_core(snapshot, hosts=2)
     flow = driver.owned_flow(core)
--- a/tests/test_systems/test_fence.py
+++ b/tests/test_systems/test_fence.py
@@ -83,7 +83,7 @@
 
 
 def test_fence_stays_until_the_missing_change_is_applied(snapshot):
-    """A resumed host hears from a peer that it misses a change.
+    """A peer reports to a resumed host that it misses a change.
 
     It is not enough to know of the change: packets that waited would still be forwarded
     by the old configuration.
--- a/tests/test_systems/test_limits.py
+++ b/tests/test_systems/test_limits.py
@@ -65,7 +65,7 @@
     st.lists(st.floats(0.0, 1.0), min_size=1, max_size=60),
 )
 def test_retry_at_the_given_time_is_admitted(now, rate, burst, gaps):
-    """A refused caller that comes back at the given time is admitted.
+    """A refused caller that retries at the given time is admitted.
 
     Openings come at any rate. Whenever one is refused, ``retry_at`` is in the future,
     and an opening at exactly that time is admitted: rounding must not refuse it again.
--- a/tests/test_systems/test_membership.py
+++ b/tests/test_systems/test_membership.py
@@ -51,7 +51,8 @@
     """One datagram in ten is lost, and no host is declared dead because of it.
 
     Each of its flows would have to be searched for. A host is pinged several times,
-    also through others. If it is suspected nevertheless, it is told first and refutes.
+    also through others. If it is suspected nevertheless, it is notified first and
+    refutes.
     """
     cluster = settled(seed=seed, loss=0.1)
     cluster.run(60.0)
@@ -62,8 +63,8 @@
 def test_hosts_that_reach_each_other_only_indirectly_stay_alive():
     """Two zones cannot reach each other, but both reach the third.
 
-    By direct pings alone each would declare the other dead, and tell the third.
-    Indirect pings keep them alive for all.
+    By direct pings alone each would declare the other dead, and the third would receive
+    both updates. Indirect pings keep them alive for all.
     """
     cluster = settled()
     first, second, _ = (host.zone for host in cluster.hosts[:3])
@@ -138,7 +139,7 @@
 
 
 def test_pings_and_answers_include_the_state_of_their_receiver(snapshot):
-    """A host that was declared dead long ago comes back with its clock behind.
+    """A host that was declared dead long ago restarts with its clock behind.
 
     The update about its death is no longer forwarded. If pings and answers did not
     include it, the host would never learn that it has to refute.
@@ -223,7 +224,7 @@
     """A host starts again with its clock behind that of its last run.
 
     Its incarnation is then lower than the one known to the others. The hosts it pings
-    tell it so, and it raises its incarnation above that.
+    send it that one, and it raises its own above it.
     """
     cluster = settled()
     cluster.core("host-6").tables.me.incarnation = 5000
--- a/tests/test_systems/test_openings.py
+++ b/tests/test_systems/test_openings.py
@@ -154,7 +154,7 @@
 
 
 def test_refusing_targets_are_tried_and_then_the_caller_is_refused(snapshot):
-    """A caller is told at once, and correctly, that nothing was run.
+    """A caller learns at once, and correctly, that nothing was run.
 
     Every target refuses the SYN with a reset, while their endpoints report healthy.
     Each is tried once. Then the refusal is sent immediately, without a time-out, with
@@ -236,7 +236,7 @@
 
 @pytest.mark.parametrize("confirm", [False, True])
 def test_no_refusal_once_the_caller_was_answered(snapshot, confirm):
-    """A caller whose request may have run is never told that it was not.
+    """A caller whose request may have run never gets a refusal, which denies that.
 
     After the caller has confirmed the target's answer, its data may have run. Only the
     target's own reset ends such a flow, and no time-out refuses it.
@@ -317,7 +317,7 @@
     """A datagram flow continues although its owner was replaced.
 
     The backup host holds its binding; the new owner, which does not know the flow,
-    places it elsewhere. The backup host sends the packet to its own target and tells
+    places it elsewhere. The backup host sends the packet to its own target and notifies
     the owner.
     """
     second = driver.make_core(snapshot, hosts=2, index=1)
--- a/tests/test_systems/test_routing.py
+++ b/tests/test_systems/test_routing.py
@@ -199,7 +199,7 @@
 
 
 def test_service_that_may_only_be_unknown_here_is_not_refused(snapshot):
-    """A caller of a service that was just accepted is not told that there is none.
+    """A caller of a service that was just accepted is not refused as unknown.
 
     A host that has just started has no configuration, and one that missed a record has
     an older one than its peer. Neither responds; the caller's next SYN reaches a host
@@ -263,7 +263,7 @@
 
 @pytest.mark.parametrize("protocol", [6, 17])
 def test_new_flow_to_a_moved_address_goes_to_its_new_account(snapshot, protocol):
-    """A caller that comes back after an address has moved reaches the new account.
+    """A caller that returns after an address has moved reaches the new account.
 
     The tuple is still bound to a target of the account that had the address. That
     binding must not determine the target of a new flow, and a datagram flow has no
--- a/tests/test_tokens/test_change_feed.py
+++ b/tests/test_tokens/test_change_feed.py
@@ -73,7 +73,7 @@
 def test_entry_newer_than_the_first_page_is_served():
     """A target starts to leave while the zone reader lists the store page by page.
 
-    A follower that has read up to the first page would not hear of it: the zone
+    A follower that has read up to the first page would not receive it: the zone
     reader's watch brings the entry again, but it is no change there any more.
     """
     driver = make_zone_reader(make_target(1), make_target(2))
@@ -158,7 +158,7 @@
 def test_follower_too_far_behind_is_sent_to_the_store():
     """A host returns to a zone reader whose log no longer holds what it missed.
 
-    With only the newer changes, it would never hear of a removed target.
+    With only the newer changes, it would never learn of a removed target.
     """
     driver = make_zone_reader()
     assert isinstance(poll_reader(driver, after=0), HistoryLost)
--- a/tests/test_tokens/test_drains.py
+++ b/tests/test_tokens/test_drains.py
@@ -141,7 +141,7 @@
 
 
 def test_flow_that_only_drained_targets_could_serve_is_refused():
-    """A service has targets in a drained zone only; its callers are told at once."""
+    """A service has targets in a drained zone only; its callers are refused at once."""
     driver = Driver(make_target(1))
     drain(driver)
     assert reason_of(driver.caller(1).open()) is ResetReason.ZONE_DRAINED
--- a/tests/test_tokens/test_election.py
+++ b/tests/test_tokens/test_election.py
@@ -228,7 +228,8 @@
         All hosts lost power for a second. Each listed the store and found the zone
         reader registered; that host had restarted too and knew of no lease. Four
         seconds after its last renewal the entry expired, 195 hosts watched the store
-        for its successor, and each was told of every zone: 451 of 701 calls.
+        for its successor, and each received the changes of every zone: 451 of 701
+        calls.
         """
         candidate = Candidate()
         candidate.driver.change(ZoneReader("north", "host-1", OWN, 2))
--- a/tests/test_tokens/test_evidence.py
+++ b/tests/test_tokens/test_evidence.py
@@ -198,7 +198,7 @@
         """An order was sent to a target that no longer answers.
 
         It may have run. A reset would end the flow before a late answer, and would not
-        tell the caller whether it has run.
+        show the caller whether it has run.
         """
         driver = Driver(make_target(1))
         caller = driver.caller(1, ORDERS)
--- a/tests/test_tokens/test_following.py
+++ b/tests/test_tokens/test_following.py
@@ -63,7 +63,7 @@
 def test_reads_the_store_at_once_when_the_reader_fails(answer):
     """The zone reader has crashed, has stalled, or cannot reach the store.
 
-    Its followers do not hear of an accepted change. Each follower's call has a
+    Its followers do not receive an accepted change. Each follower's call has a
     deadline; after it the follower reads the store without a wait.
     """
     driver = make_follower()
--- a/tests/test_tokens/test_warmup.py
+++ b/tests/test_tokens/test_warmup.py
@@ -97,7 +97,7 @@
 
 
 def test_change_feed_contains_the_remaining_warmup():
-    """A follower hears of a target in warm-up later than its zone reader.
+    """A follower receives a target in warm-up later than its zone reader.
 
     If the warm-up were counted from then, it would last too long.
     """
