--- a/citronspring/events.py
+++ b/citronspring/events.py
@@ -153,7 +153,7 @@
     "changes-written-again",
     Level.WARNING,
     "The platform was restored from a backup; accepted changes that it lacked "
-    "are written again.",
+    "are rewritten.",
 )
 
 
@@ -176,7 +176,7 @@
     602,
     "flow-reset",
     Level.WARNING,
-    "A flow was reset because its target is gone or unreachable.",
+    "A flow was reset because its target was removed or is unreachable.",
     "Check the target, and the links between its availability zone and the host.",
 )
 PACKET_DROPPED = Event(
@@ -262,7 +262,7 @@
     626,
     "reader-lost",
     Level.INFO,
-    "The zone reader is unresponsive, behind or gone; the host reads the store.",
+    "The zone reader is unresponsive, behind or removed; the host reads the store.",
     "If it persists, check the given reader and its network path to the store.",
 )
 LEASE_TAKEN = Event(
--- a/citronspring/host_settings.py
+++ b/citronspring/host_settings.py
@@ -24,7 +24,7 @@
     #: Address for datagrams between the hosts of a zone about unresponsive targets; the
     #: port is the same on all hosts.
     messages: Endpoint
-    #: Addresses at which other hosts serve peer snapshots; some hosts may be gone.
+    #: Addresses at which other hosts serve peer snapshots; some may have stopped.
     peers: tuple[Endpoint, ...]
     store: Endpoint
     #: Capacity of this host's link in bytes per second.
--- a/citronspring/systems/drain.py
+++ b/citronspring/systems/drain.py
@@ -1,4 +1,4 @@
-"""Leaving: a stopping host hands over its flows and exits by a deadline."""
+"""Leaving: others take over the flows of a host, which exits by a deadline."""
 
 from __future__ import annotations
 
--- a/citronspring/systems/membership.py
+++ b/citronspring/systems/membership.py
@@ -144,7 +144,7 @@
     actions: list[Action],
     members: tuple[HostUpdate, ...] = (),
 ) -> None:
-    """Ping a host; include its state as known here and this host's own addresses."""
+    """Ping a host; include its state as known to this host, and own addresses."""
     row = tables.hosts[host_id]
     first = [] if row.state is HostState.ALIVE else [update_of(row)]
     if host_id not in tables.membership.acknowledged:
@@ -222,7 +222,7 @@
 def receive_ping(
     tables: Tables, sender: str, message: Ping, actions: list[Action]
 ) -> None:
-    """Answer a ping; include the sender's state if it is not alive here."""
+    """Answer a ping; include the sender's state if it does not count as alive."""
     row = tables.hosts[sender]
     sender_state = () if row.state is HostState.ALIVE else (update_of(row),)
     updates = next_updates(tables, *sender_state, weight=ANSWER_WEIGHT)
@@ -338,8 +338,8 @@
 def apply_host_list(tables: Tables, event: HostListRead, now: float) -> None:
     """Use the platform's list, which may be outdated, as a hint only.
 
-    A host that is not listed may still serve, and a listed one may be gone: only pings
-    decide. The list only shortens how long dead hosts are kept.
+    A host that is not listed may still serve, and a listed one may have stopped: only
+    pings decide. The list only shortens how long dead hosts are kept.
     """
     for host_id, row in tables.hosts.items():
         listed = host_id in event.live or host_id in event.leaving
--- a/citronspring/systems/replication.py
+++ b/citronspring/systems/replication.py
@@ -270,7 +270,7 @@
     if not apply_snapshot(tables, snapshot, now):
         return
     replication = tables.replication
-    # The records before the snapshot are not known here. With a gap in the kept
+    # The records before the snapshot are unknown to this host. With a gap in the kept
     # records, a peer would skip the missing ones.
     replication.recent.clear()
     replication.pushes.clear()
--- a/citronspring/systems/revisions.py
+++ b/citronspring/systems/revisions.py
@@ -1,4 +1,4 @@
-"""Application of configuration revisions, which never go back."""
+"""Application of configuration revisions, which only increase."""
 
 from __future__ import annotations
 
--- a/citronspring/systems/routing.py
+++ b/citronspring/systems/routing.py
@@ -312,7 +312,7 @@
 def open_or_search(
     tables: Tables, packet: Packet, now: float, actions: list[Action]
 ) -> None:
-    """Handle a caller's packet of a flow that is unknown here."""
+    """Handle a caller's packet of a flow that is unknown to this host."""
     account = account_of(tables, packet.flow)
     opens_flow = packet.flow[0] != TCP or packet.flags & (SYN | ACK) == SYN
     if account is None or opens_flow and is_retired(tables, packet.flow):
--- a/citronspring/systems/snapshot_transfer.py
+++ b/citronspring/systems/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Snapshot transfer: a host without configuration copies it from a peer."""
+"""Snapshot transfer: a host without configuration requests it from a peer."""
 
 from __future__ import annotations
 
--- a/citronspring/tokens/election.py
+++ b/citronspring/tokens/election.py
@@ -37,8 +37,8 @@
 RENEWAL_FRACTION = 0.3
 
 #: Range in seconds over which the hosts of a zone spread their claims. A claim is
-#: visible to all hosts within 20 ms, so that of thirty hosts only one or two claim in
-#: vain.
+#: visible to all hosts within 20 ms, so that of thirty hosts only one or two claim
+#: without success.
 CLAIM_JITTER = 1.0
 
 #: Additional delay in seconds, divided by the host's share of a processor, so that
--- a/citronspring/tokens/entries.py
+++ b/citronspring/tokens/entries.py
@@ -1,4 +1,4 @@
-"""Entries of the store, and the changes that hosts pass on to each other.
+"""Entries of the store, and the changes that hosts send each other.
 
 Each kind of entry has a class here, and one for its removal. A new kind also needs a
 place in `citronspring.tokens.tables`, a case in `citronspring.tokens.entry_updates` and
--- a/citronspring/tokens/forwarding.py
+++ b/citronspring/tokens/forwarding.py
@@ -215,7 +215,7 @@
     now: float,
     actions: list[Action],
 ) -> None:
-    """Reset a flow whose target is unreachable or gone."""
+    """Reset a flow whose target is unreachable or was removed."""
     actions.append(ResetCaller(packet, reason))
     row = flow.target
     fields: dict[str, object] = {
--- a/citronspring/tokens/store_reader.py
+++ b/citronspring/tokens/store_reader.py
@@ -87,7 +87,7 @@
         return None
     if tables.configuration == 0 and tables.peers and reader.failures % 2:
         # A host that starts while the store is unreachable would serve nobody until it
-        # is back. The host asks peers and the store by turns, since either may be
+        # is back. The host asks peers and the store alternately, since either may be
         # unreachable.
         return ReadPeer(reader.failures // 2)
     if not reader.listed:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -63,7 +63,7 @@
                 if self.mode is Mode.DELAY:
                     time.sleep(DELAY)
                 # Nothing may follow a chunk that was not forwarded, as the stream would
-                # have a gap; so this direction of the connection stays silent for good.
+                # have a gap; so this direction of the connection carries no more.
                 if self.mode is Mode.SILENT or (self.mode is Mode.ONE_WAY and answers):
                     return
                 sink.sendall(data)
--- a/tests/test_control/test_envelope.py
+++ b/tests/test_control/test_envelope.py
@@ -122,7 +122,7 @@
 def test_replayed_datagrams_are_refused():
     """A recorded datagram that is sent again has no effect.
 
-    A replayed "leaving" update would remove a serving host from the ring. Each
+    A replayed "leaving" update would remove a serving host from the owner table. Each
     sequence number is accepted once. Datagrams from before the sender's restart, and
     those that are too old, are rejected.
     """
--- a/tests/test_daemons/test_http_client.py
+++ b/tests/test_daemons/test_http_client.py
@@ -17,7 +17,7 @@
 
 
 class Call:
-    """A call to a server played by the test, with a simulated clock."""
+    """A call to a server simulated by the test, with a simulated clock."""
 
     def __init__(self, largest=1e6):
         self.selector = DefaultSelector()
--- a/tests/test_daemons/test_http_server.py
+++ b/tests/test_daemons/test_http_server.py
@@ -135,7 +135,7 @@
     """A follower that is to receive 200 KB finds the connection closed.
 
     The server sent what one write accepted and closed the connection. Nine followers of
-    three readers were to get a difference of 1,400 routes that way: 626 times "the
+    three readers were to get a difference of 1,400 routes, and reported 626 times "the
     connection was closed".
     """
     large = "x" * 20_000_000
--- a/tests/test_daemons/test_prober.py
+++ b/tests/test_daemons/test_prober.py
@@ -62,7 +62,7 @@
 
 
 async def test_failed_probe_counts_as_unhealthy():
-    """A target that hangs, is gone, or sends invalid answers is not reported healthy.
+    """A target that hangs, has stopped or answers invalidly is not reported healthy.
 
     Its probe ends within the timeout, in one of a few tasks; the others continue.
     """
--- a/tests/test_platform/test_store_restore.py
+++ b/tests/test_platform/test_store_restore.py
@@ -191,8 +191,8 @@
 ):
     """Most targets of a service start, and a restore loses their entries.
 
-    They run, and register again within two seconds. If they counted as gone until then,
-    the other targets would get all the load, or the service would have no target.
+    They run, and register again within two seconds. If they counted as removed until
+    then, the other targets would get all the load, or the service would have no target.
     """
     host = host_after_target_loss(store)
     host.wait(2.0)
@@ -322,7 +322,7 @@
     """A store is restored from a backup twice within three seconds.
 
     A target that had registered again is missing once more. With the time counted from
-    the first restore, it was declared gone, and its flows were reset.
+    the first restore, it was removed, and its flows were reset.
     """
     copy = store.backup()
     store.register(STARTED[0])
--- a/tests/test_systems/test_health.py
+++ b/tests/test_systems/test_health.py
@@ -273,7 +273,7 @@
     """A target that was just added does not get every new flow at once.
 
     It has no flows, so it is the least loaded by far; all flows placed on it while it
-    is cold would stall. Its share grows with time until it equals that of the others.
+    warms up would stall. Its share grows with time until it equals that of the others.
     """
     core = driver.make_core(snapshot)
     callers = Callers(core)
--- a/tests/test_tokens/test_admission.py
+++ b/tests/test_tokens/test_admission.py
@@ -177,7 +177,7 @@
     The targets are overloaded, and most of what they send are refusals after a tenth of
     a second, while answers take a third of a second. If both were counted, the median
     would stay below the shedding threshold, and two thirds of all requests would go to
-    overloaded targets in vain.
+    overloaded targets and be refused there.
     """
     row, service = AnswerRow(), ServiceRow()
     for number in range(200):
--- a/tests/test_tokens/test_change_feed.py
+++ b/tests/test_tokens/test_change_feed.py
@@ -111,7 +111,7 @@
     """A zone reader loses its registration to another host and continues to serve.
 
     Its followers read on from its revision, past the change of the registration. If
-    that were not passed on, they would follow no host once this reader is gone.
+    that were not sent to them, they would follow no host once this reader stops.
     """
     driver = make_zone_reader()
     other = ZoneReader("north", "host-7", Endpoint("10.1.0.7", 8166), 4)
@@ -169,7 +169,7 @@
 
 
 def test_changes_of_a_second_list_are_served():
-    """A target is removed while the store loses its history and watches stay silent.
+    """A target is removed while the store loses its history and watches report nothing.
 
     The zone reader learns of it from a list. Its followers, which were at the same
     revision, have missed it too.
--- a/tests/test_tokens/test_evidence.py
+++ b/tests/test_tokens/test_evidence.py
@@ -77,10 +77,10 @@
         assert row.timeouts == 0
 
     def test_retransmissions_of_one_request_count_once(self):
-        """Two copies of a request are lost in a burst, and the third arrives.
+        """A request and its first retransmission are lost in a burst, not the second.
 
-        The target is healthy and answers it. If each copy counted, the first two would
-        have reset a flow that goes on.
+        The target is healthy and answers it. If each retransmission counted, the flow
+        would be reset although it goes on.
         """
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
--- a/tests/test_tokens/test_local_path.py
+++ b/tests/test_tokens/test_local_path.py
@@ -108,7 +108,7 @@
     """Requests of three flows: two to an unresponsive target, one to a healthy one."""
 
     def lose_request_to_another_target(self, answered, zone="north"):
-        """Let a request to another target be lost too; return the action for a copy.
+        """Lose a request to another target too; return the action for a retransmission.
 
         Parameters
         ----------
--- a/tests/test_tokens/test_zones.py
+++ b/tests/test_tokens/test_zones.py
@@ -80,7 +80,7 @@
         assert reason_of(caller.retransmit()) is ResetReason.TARGET_UNREACHABLE
 
     def test_two_retransmissions_are_no_evidence_while_the_zone_answers(self):
-        """Two copies of a request are lost; another target of the zone answers."""
+        """A request and a retransmission are lost; others of the zone answer."""
         driver = Driver(*(make_target(number, "south") for number in (1, 2)))
         callers = [driver.caller(port) for port in range(2)]
         for caller in callers:
