--- a/citronspring/tokens/evidence.py
+++ b/citronspring/tokens/evidence.py
@@ -54,10 +54,9 @@
 #: however slowly it works, so callers need not retransmit. One retransmission means a
 #: lost datagram or an unreachable target; a second one is unlikely to be chance.
 #: Retransmissions of one request count once: datagrams are lost in bursts, and a
-#: healthy target has answered the second retransmission of a request after the request
-#: and the first one were lost. Openings are not counted: an overloaded target leaves
-#: them unanswered while its open flows go on, and so does a caller that has
-#: disappeared.
+#: healthy target has answered the second retransmission of a request after two losses.
+#: Openings are not counted: an overloaded target leaves them unanswered while its open
+#: flows go on, and so does a caller that has disappeared.
 UNREACHABLE_FLOWS = 2
 
 #: Seconds within which a reachable target answers a retransmission; several round trips
--- a/citronspring/tokens/local_path.py
+++ b/citronspring/tokens/local_path.py
@@ -27,7 +27,7 @@
 
 #: Largest ratio of retransmitted requests to answers, for other targets in the same
 #: period. It tolerates that a seventh of the targets have crashed at once. A link that
-#: drops a fifth of its packets loses a request and its retransmission dozens of times.
+#: drops a fifth of its packets loses a request two times in a row dozens of times.
 MAX_LOSS_RATIO = 0.25
 
 #: Number of requests lost on working paths within the window at which the host's own
