--- a/citronspring/daemons/control.py
+++ b/citronspring/daemons/control.py
@@ -112,9 +112,9 @@
         except ControlMessageError as error:
             self.core.tables.counters[f"control.unsent.{error.reason}"] += 1
             return
-        urgency = priority_of(action.message)
-        outgoing = Outgoing(action.host_id, datagram, urgency)
-        self.budget.enqueue(outgoing, urgency, len(datagram), self.clock())
+        priority = priority_of(action.message)
+        outgoing = Outgoing(action.host_id, datagram, priority)
+        self.budget.enqueue(outgoing, priority, len(datagram), self.clock())
         self.flush()
 
     def flush(self) -> None:
@@ -134,17 +134,17 @@
 class Outgoing:
     """A signed datagram queued for a host."""
 
-    __slots__ = ("datagram", "host_id", "urgency")
+    __slots__ = ("datagram", "host_id", "priority")
 
-    def __init__(self, host_id: str, datagram: bytes, urgency: Priority) -> None:
+    def __init__(self, host_id: str, datagram: bytes, priority: Priority) -> None:
         self.host_id = host_id
         self.datagram = datagram
-        self.urgency = urgency
+        self.priority = priority
 
     @property
     def counter(self) -> str:
         """Name of the counter of its bytes; snapshot transfers have their own."""
-        bulk = self.urgency is Priority.BULK
+        bulk = self.priority is Priority.BULK
         return "control.bulk_bytes_sent" if bulk else "control.bytes_sent"
 
 
--- a/citronspring/systems/limits.py
+++ b/citronspring/systems/limits.py
@@ -111,7 +111,7 @@
     spare = max(0, share - lending.announced_cap)
     if lending.cap_expires_at > now or members == 1:
         return spare
-    owed = 0
+    lent = 0
     for peer, index in tables.owners.positions.items():
         if peer == tables.host_id:
             continue
@@ -123,8 +123,8 @@
         ):
             excess = use.open_flows - connection_share(tables, account, peer)
             borrowable = min(borrowable, max(0, excess))
-        owed += borrowable
-    return owed
+        lent += borrowable
+    return lent
 
 
 def borrowed_quota(tables: Tables, account: AccountRow, now: float) -> int:
--- a/tests/test_configuration/test_restores.py
+++ b/tests/test_configuration/test_restores.py
@@ -31,10 +31,10 @@
     Diverged histories cannot be merged, so the accepted change would be lost for good.
     """
     platform = make_platform()
-    copy = platform.backup()
+    backup = platform.backup()
     store = make_store(platform)
     call(store.commit(put("1-a"), 0.0))
-    platform.restore(copy)
+    platform.restore(backup)
     other = make_store(platform)
     with pytest.raises(PlatformUnavailableError, match="restored from a backup"):
         call(other.commit(put("1-b", account_id="late", ip="192.0.2.9"), 0.0))
@@ -60,10 +60,10 @@
     Unless it is rewritten, hosts that start later read the older configuration.
     """
     platform = make_platform()
-    copy = platform.backup()
+    backup = platform.backup()
     store = make_store(platform)
     accepted = call(store.commit(put("1-a", targets=[target(1)]), 0.0))
-    platform.restore(copy)
+    platform.restore(backup)
     assert revision_of(platform) < accepted.revision
     assert call(store.read_snapshot()).revision == accepted.revision
     entry = call(make_store(platform).read_account("bundelpers"))
@@ -73,10 +73,10 @@
 
 def test_change_retried_after_a_restore_is_committed_once():
     platform = make_platform()
-    copy = platform.backup()
+    backup = platform.backup()
     store = make_store(platform)
     accepted = call(store.commit(put("1-a"), 0.0))
-    platform.restore(copy)
+    platform.restore(backup)
     assert call(store.commit(put("1-a"), 0.0)) == accepted
     assert [change.change_id for change in head_of(platform).changes].count("1-a") == 1
 
@@ -84,11 +84,11 @@
 def test_process_without_definitions_keeps_its_configuration():
     """A host only has rendered accounts, from which it cannot rewrite a lost change."""
     platform = make_platform()
-    copy = platform.backup()
+    backup = platform.backup()
     call(make_store(platform).commit(put("1-a"), 0.0))
     host = make_store(platform)
     call(host.read_snapshot())
-    platform.restore(copy)
+    platform.restore(backup)
     with pytest.raises(ChangesLostError, match="1-a"):
         call(host.read_snapshot())
     assert host.reader.head.revision == 2
@@ -101,9 +101,9 @@
     never read the new one.
     """
     platform = make_platform()
-    copy = platform.backup()
+    backup = platform.backup()
     lost = call(make_store(platform).commit(put("1-a"), 0.0))
-    platform.restore(copy)
+    platform.restore(backup)
     other = make_store(platform)
     made = commit_after_grace_period(other, put("1-b", account_id="inzendloket"))
     assert made.revision > lost.revision
@@ -121,10 +121,10 @@
     Rewriting them then would overwrite the change accepted in the meantime.
     """
     platform = make_platform()
-    copy = platform.backup()
+    backup = platform.backup()
     store = make_store(platform)
     call(store.commit(put("1-a"), 0.0))
-    platform.restore(copy)
+    platform.restore(backup)
     other = make_store(platform)
     made = commit_after_grace_period(other, put("1-b", account_id="inzendloket"))
     with pytest.raises(ChangesLostError, match="1-a"):
@@ -138,13 +138,13 @@
     If the swap succeeded on the reused version, another process's commit would be lost.
     """
     platform = make_platform()
-    copy = platform.backup()
+    backup = platform.backup()
     call(make_store(platform).commit(put("1-a"), 0.0))
     late = SteppedCall(
         make_store(platform).commit(put("2-l", account_id="late", ip="192.0.2.9"), 0.0)
     )
     late.run_to("put", "head")
-    platform.restore(copy)
+    platform.restore(backup)
     other = make_store(platform)
     made = commit_after_grace_period(other, put("1-b", account_id="inzendloket"))
     late.finish()
--- a/tests/test_daemons/test_http_server.py
+++ b/tests/test_daemons/test_http_server.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 6, 10, 18, 30])
-def test_request_in_two_segments_is_read_whole(cut):
+def test_request_in_two_segments_is_read_completely(cut):
     """A follower's request arrives in two TCP segments.
 
     The parser reported the path in two pieces. Only the second one was kept, so the
--- a/tests/test_platform/test_process.py
+++ b/tests/test_platform/test_process.py
@@ -105,7 +105,7 @@
     assert order == sorted(order)
 
 
-def test_opening_that_waited_through_a_pause_is_dropped(serving):
+def test_opening_that_waited_through_a_stall_is_dropped(serving):
     """A host stalls with openings in its socket, then continues.
 
     The caller has meanwhile retransmitted through another host. The wait for events
@@ -236,7 +236,7 @@
     assert reader.status() == 200
 
 
-def test_stopped_reader_hands_over_its_zone(serving, second):
+def test_stopped_reader_ends_its_lease(serving, second):
     """An operator stops the zone reader; the other host registers at once."""
     reader, follower = reader_and_follower(serving, second)
     reader.process.send_signal(signal.SIGTERM)
--- a/tests/test_platform/test_store.py
+++ b/tests/test_platform/test_store.py
@@ -113,7 +113,7 @@
     assert (entry.routes[0].objective, entry.routes[0].priority) == (0.12, 1)
 
 
-def test_route_that_asks_for_no_latency_has_no_objective():
+def test_route_without_a_latency_has_no_objective():
     entry = only_entry(page(item("op/config", CONFIGURATION)))
     assert entry.routes[0].objective == float("inf")
 
@@ -141,7 +141,7 @@
     assert only_entry(page(item("servers/i-1", TARGET))).started is None
 
 
-def test_unreadable_entry_tells_its_start_where_that_can_be_read():
+def test_unreadable_entry_has_its_start_time_where_that_can_be_read():
     """Another program overwrites an entry after the target has restarted."""
     broken = {**TARGET, "born": 1764720000000, "state": "parked"}
     assert only_entry(page(item("servers/i-1", broken))).started == 1764720000000
--- a/tests/test_platform/test_store_restore.py
+++ b/tests/test_platform/test_store_restore.py
@@ -56,9 +56,9 @@
         for _ in range(calls):
             self.now = max(self.now, self.tables.reader.call_at) + 0.01
             call = self.core.next_call(self.now)
-            self.take(call, self.ask(call))
+            self.take(call, self.answer(call))
 
-    def ask(self, call):
+    def answer(self, call):
         request = PLATFORM_ADAPTER.encode_call(call)
         status, found = self.store.handle_read(request.target)
         headers = {
@@ -113,19 +113,19 @@
 
 def backup_before(store, *versions):
     """Return a backup made before the given configurations are written."""
-    copy = store.backup()
+    backup = store.backup()
     for version in versions:
         store.configure(version)
-    return copy
+    return backup
 
 
 def test_followers_learn_of_a_leaving_target_after_a_store_restore(store):
     """After a restore, two thirds of the hosts kept using a leaving target."""
     reader, follower = start(store, "host-1"), start(store, "host-2")
-    copy = backup_before(store, 12, 14, 16)
+    backup = backup_before(store, 12, 14, 16)
     reader.run(1)
     follower.run(1)
-    store.restore(copy)
+    store.restore(backup)
     reader.run(CALLS_TO_CONVERGE)
     follower.run(CALLS_TO_CONVERGE)
     store.register(LEAVING, state="draining")
@@ -141,11 +141,11 @@
     They watched for later revisions only, and kept the old configuration.
     """
     host = start(store)
-    copy = backup_before(store, 12)
+    backup = backup_before(store, 12)
     host.run(1)
-    store.restore(copy)
+    store.restore(backup)
     store.configure(14)
-    assert store.revision == copy.revision + 1
+    assert store.revision == backup.revision + 1
     host.run(CALLS_TO_CONVERGE)
     assert host.tables.configuration == 14
 
@@ -153,9 +153,9 @@
 def test_partitioned_host_learns_of_changes_rewritten_below_its_revision(store):
     """A host is partitioned until the restored store passes the host's revision."""
     host = start(store)
-    copy = backup_before(store, 12)
+    backup = backup_before(store, 12)
     host.run(1)
-    store.restore(copy)
+    store.restore(backup)
     store.register(LEAVING, state="draining")
     for version in (14, 16, 18):
         store.configure(version)
@@ -167,9 +167,9 @@
 def test_restored_store_is_not_listed_repeatedly(store):
     """Each host listed the store some twenty-five times a second, for seconds."""
     host = start(store)
-    copy = backup_before(store, 12, 14, 16)
+    backup = backup_before(store, 12, 14, 16)
     host.run(1)
-    store.restore(copy)
+    store.restore(backup)
     store.calls.clear()
     host.run(10)
     assert store.calls.count("/api/kv-range") <= 2
@@ -177,11 +177,11 @@
 
 def host_after_target_loss(store):
     """Return a host that knows targets which the restored store lacks."""
-    copy = store.backup()
+    backup = store.backup()
     for name in STARTED:
         store.register(name)
     host = start(store)
-    store.restore(copy)
+    store.restore(backup)
     host.run(CALLS_TO_CONVERGE)
     return host
 
@@ -232,10 +232,10 @@
     The older entry of the target must be ignored although its revision is newer.
     """
     host = start(store)
-    copy = store.backup()
+    backup = store.backup()
     store.register(LEAVING, state="draining", seq=50)
     host.run(1)
-    store.restore(copy)
+    store.restore(backup)
     host.run(CALLS_TO_CONVERGE)
     host.wait(30.0)
     assert host.usable() == {STAYING}
@@ -246,10 +246,10 @@
     store.register(STAYING, warmup_left_ms=1500, seq=4)
     host = start(store)
     host.wait(2.0)
-    copy = store.backup()
+    backup = store.backup()
     store.configure(12)
     host.run(1)
-    store.restore(copy)
+    store.restore(backup)
     host.run(CALLS_TO_CONVERGE)
     assert host.tables.targets[STAYING].warm_at <= host.now
 
@@ -258,8 +258,8 @@
     """A new process numbers its entries from the start, so its sequence is smaller."""
     host = start(store)
     store.register(STAYING, seq=1, born=8, slots=2)
-    copy = store.backup()
-    store.restore(copy)
+    backup = store.backup()
+    store.restore(backup)
     host.run(CALLS_TO_CONVERGE)
     assert host.tables.targets[STAYING].target.started == 8
 
@@ -269,10 +269,10 @@
 
     Operators repeat the drain, but a host cannot know when.
     """
-    copy = store.backup()
+    backup = store.backup()
     store.put("op/evacuate/south", {})
     host = start(store)
-    store.restore(copy)
+    store.restore(backup)
     host.run(CALLS_TO_CONVERGE)
     host.wait(5.0)
     assert host.tables.is_drained("south")
@@ -281,10 +281,10 @@
 
 
 def test_rewritten_drain_stays_in_force(store):
-    copy = store.backup()
+    backup = store.backup()
     store.put("op/evacuate/south", {})
     host = start(store)
-    store.restore(copy)
+    store.restore(backup)
     host.run(CALLS_TO_CONVERGE)
     store.put("op/evacuate/south", {})
     host.run(1)
@@ -295,9 +295,9 @@
 def test_configuration_is_not_rolled_back_by_a_restore(store):
     """A route is removed; the restored store still has it."""
     host = start(store)
-    copy = backup_before(store, 12)
+    backup = backup_before(store, 12)
     host.run(1)
-    store.restore(copy)
+    store.restore(backup)
     host.run(CALLS_TO_CONVERGE)
     assert host.tables.configuration == 12
 
@@ -308,8 +308,8 @@
     The host refused callers because it treated the complete list as current.
     """
     host = start(store)
-    copy = backup_before(store, 12)
-    store.restore(copy)
+    backup = backup_before(store, 12)
+    store.restore(backup)
     host.run(CALLS_TO_CONVERGE)
     assert not is_current(host.tables, TIMES, host.now)
     store.configure(12)
@@ -318,20 +318,20 @@
     assert is_current(host.tables, TIMES, host.now)
 
 
-def test_second_restore_resets_the_time_until_a_missing_target_counts_as_gone(store):
+def test_second_restore_resets_the_time_until_a_missing_target_is_removed(store):
     """A store is restored from a backup twice within three seconds.
 
     A target that had registered again is missing once more. With the time counted from
     the first restore, it was removed, and its flows were reset.
     """
-    copy = store.backup()
+    backup = store.backup()
     store.register(STARTED[0])
     host = start(store)
-    store.restore(copy)
+    store.restore(backup)
     host.run(CALLS_TO_CONVERGE)
     row = host.tables.targets[STARTED[0]]
     host.wait(REMOVAL_GRACE)
-    store.restore(copy)
+    store.restore(backup)
     host.run(CALLS_TO_CONVERGE)
     assert not is_removal_confirmed(host.tables, row, host.now)
     host.wait(2 * REMOVAL_GRACE)
@@ -346,9 +346,9 @@
     change, so the follower kept the older one forever.
     """
     reader = start(store, "host-1")
-    copy = backup_before(store, 12)
+    backup = backup_before(store, 12)
     reader.run(1)
-    store.restore(copy)
+    store.restore(backup)
     reader.run(CALLS_TO_CONVERGE)
     follower = start(store, "host-2")
     assert follower.tables.configuration == 10
--- a/tests/test_systems/test_flow_search.py
+++ b/tests/test_systems/test_flow_search.py
@@ -159,8 +159,8 @@
     holder = former.tables.targets["bundelpers-5"]
     driver.open_flow(driver.make_core(snapshot), flow)
     former.receive(driver.relayed(driver.from_target(flow, "bundelpers-5")), 0.0)
-    [ask] = joined.receive(driver.from_caller(flow), 1.0)
-    assert ask.kind is RelayKind.QUERY
+    [query] = joined.receive(driver.from_caller(flow), 1.0)
+    assert query.kind is RelayKind.QUERY
     event = driver.relayed(driver.from_caller(flow), "host-0", RelayKind.QUERY)
     send, bind = former.receive(event, 1.0)
     assert send.target_id == holder.target.target_id
--- a/tests/test_systems/test_openings.py
+++ b/tests/test_systems/test_openings.py
@@ -189,8 +189,8 @@
             continue
         if isinstance(actions[-1], Refuse):
             return tried, actions
-        send, copy = actions
-        assert (copy.kind, copy.target_id) == (RelayKind.BIND, send.target_id)
+        send, bind = actions
+        assert (bind.kind, bind.target_id) == (RelayKind.BIND, send.target_id)
         tried.append(send.target_id)
     raise AssertionError("never refused")
 
@@ -277,13 +277,13 @@
     """
     core = driver.make_core(snapshot, hosts=3)
     flow = driver.owned_flow(core, owner=False)
-    [ask] = core.receive(driver.relayed(driver.syn(flow)), 0.0)
-    assert (ask.kind, ask.host_id) == (
+    [query] = core.receive(driver.relayed(driver.syn(flow)), 0.0)
+    assert (query.kind, query.host_id) == (
         RelayKind.QUERY,
         core.tables.owners.owner_and_backup(flow)[0],
     )
     assert (open_count(core), core.tables.openings) == (0, {})
-    owner = driver.make_core(snapshot, hosts=3, index=int(ask.host_id[-1]))
+    owner = driver.make_core(snapshot, hosts=3, index=int(query.host_id[-1]))
     event = driver.relayed(driver.syn(flow), "host-0", RelayKind.QUERY)
     [proposal] = owner.receive(event, 0.0)
     assert proposal.kind is RelayKind.PROPOSE
--- a/tests/test_systems/test_replication.py
+++ b/tests/test_systems/test_replication.py
@@ -130,7 +130,7 @@
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(st.integers(0, 10_000), st.booleans())
-def test_records_in_any_order_give_the_same_state_and_never_go_back(seed, cut):
+def test_records_in_any_order_give_the_same_state_and_never_an_older_one(seed, cut):
     """Records arrive in any order, twice, in pieces, some of them late.
 
     If they were applied in order of arrival, an older record would undo a newer one.
@@ -214,11 +214,11 @@
     core.tick(0.0)
     deliver(core, SnapshotPart(5, 2, 3, parts[2]), 0.1)
     for now in (0.1, 0.2):
-        assert asked_for(core, now) == []
-    assert asked_for(core, 0.35) == [SnapshotRequest(5, 1)]
+        assert snapshot_requests(core, now) == []
+    assert snapshot_requests(core, 0.35) == [SnapshotRequest(5, 1)]
 
 
-def asked_for(core, now):
+def snapshot_requests(core, now):
     messages = [item.message for item in core.tick(now) if hasattr(item, "message")]
     return [item for item in messages if isinstance(item, SnapshotRequest)]
 
--- a/tests/test_tokens/test_election.py
+++ b/tests/test_tokens/test_election.py
@@ -75,7 +75,7 @@
     assert candidate.next_call() is None
 
 
-def test_claims_the_zone_after_the_reader_is_gone():
+def test_claims_the_zone_after_the_reader_is_removed():
     candidate = Candidate()
     candidate.driver.change(OTHER)
     assert candidate.next_call() is None
--- a/tests/test_tokens/test_peer_snapshot.py
+++ b/tests/test_tokens/test_peer_snapshot.py
@@ -46,7 +46,7 @@
     return driver.core.next_call(driver.now)
 
 
-def test_asks_peers_and_store_by_turns_until_it_has_state():
+def test_asks_peers_and_store_alternately_until_it_has_state():
     driver = restarted_host(Driver(make_target(1)))
     calls = []
     for _ in range(5):
--- a/tests/test_tokens/test_restarts.py
+++ b/tests/test_tokens/test_restarts.py
@@ -141,8 +141,8 @@
     def test_entry_without_a_start_time_replaces_none_that_has_one(self):
         """Another program writes an entry that looks like a target's, under its id."""
         driver = Driver(make_target(1, started=FIRST_START))
-        foreign = make_target(1, endpoint=make_target(9).endpoint, revision=2)
-        driver.change(foreign)
+        unrelated = make_target(1, endpoint=make_target(9).endpoint, revision=2)
+        driver.change(unrelated)
         row = driver.tables.targets["i-1"]
         assert row.target.endpoint == make_target(1).endpoint
 
