--- a/tests/test_platform/test_store_restore.py
+++ b/tests/test_platform/test_store_restore.py
@@ -56,9 +56,9 @@
         for _ in range(calls):
             self.now = max(self.now, self.tables.reader.call_at) + 0.01
             call = self.core.next_call(self.now)
-            self.take(call, self.answer(call))
+            self.take(call, self.make_call(call))
 
-    def answer(self, call):
+    def make_call(self, call):
         request = PLATFORM_ADAPTER.encode_call(call)
         status, found = self.store.handle_read(request.target)
         headers = {
