--- a/citronspring/admin/errors.py
+++ b/citronspring/admin/errors.py
@@ -60,6 +60,6 @@
 
 
 class InternalError(CitronspringError):
-    """A request met an unexpected exception."""
+    """The processing of a request raised an unexpected exception."""
 
     kind = "internal"
--- a/citronspring/systems/fence.py
+++ b/citronspring/systems/fence.py
@@ -25,7 +25,7 @@
 #: belongs to a connection that its owner has reset in the meantime.
 CLOCK_JUMP = 0.5
 
-#: Seconds after which a host that reaches nobody forwards again.
+#: Seconds after which a host that reaches no peer forwards again.
 FENCE_TIMEOUT = 2.0
 
 #: Seconds between two rounds of queries.
@@ -74,7 +74,7 @@
 
 
 def run_fence(tables: Tables, now: float, actions: list[Action]) -> None:
-    """Repeat the queries; lower the fence if nobody answers in time."""
+    """Repeat the queries; lower the fence if no peer answers in time."""
     fence = tables.fence
     fence.last_tick_at = now
     if fence.until is None:
--- a/citronspring/systems/hints.py
+++ b/citronspring/systems/hints.py
@@ -19,7 +19,7 @@
 #: Relayed packets of a flow after which the relaying host gets a hint.
 HINT_EVERY = 16
 
-#: Seconds a hint is valid; far below TIME-WAIT, so it never meets a reused tuple.
+#: Seconds a hint is valid; far below TIME-WAIT, so a reused tuple never has one.
 HINT_LIFETIME = 5.0
 
 #: Maximum number of hints.
--- a/citronspring/tokens/openings.py
+++ b/citronspring/tokens/openings.py
@@ -86,7 +86,7 @@
     elif drained:
         place_opening(tables, packet, route, flow, now, actions)
     else:
-        # Retransmissions that were queued here together; the first one cannot have been
+        # Retransmissions that were queued together; the first one cannot have been
         # answered yet.
         actions.append(Forward(packet, flow.target))
 
@@ -252,7 +252,7 @@
         if flow is None or flow.open or now - deadline > MAX_TIMER_DELAY:
             continue
         if flow.first_sent_at > deadline - OPENING_ANSWER_TIMEOUT:
-            # It was sent again since; that opening has its own deadline.
+            # It was retransmitted since; that opening has its own deadline.
             continue
         note_timeout(tables, flow.target, flow.first_sent_at, now)
         if len(flow.tried) < MAX_TARGETS_PER_OPENING:
--- a/citronspring/tokens/placement.py
+++ b/citronspring/tokens/placement.py
@@ -81,9 +81,9 @@
     """Return the targets that have warmed up, or all if none of those may be reachable.
 
     A target in warm-up can serve a few flows per second from all hosts together, and a
-    host does not know how many the others send. It therefore gets none while a warm
-    target may answer, even if that one is overloaded or unresponsive for a moment; in a
-    burst all of them are.
+    host does not know how many the others send. It therefore gets none while a
+    warmed-up target may answer, even if that one is overloaded or unresponsive for a
+    moment; in a burst all of them are.
     """
     warm = [row for row in rows if row.warm_at <= now]
     if all(seems_unreachable(tables, row, now) for row in warm):
--- a/citronspring/tokens/restore_grace.py
+++ b/citronspring/tokens/restore_grace.py
@@ -21,7 +21,7 @@
     from citronspring.tokens.tables import Tables
 
 #: Seconds after which a running target has rewritten its entry: two, and half a second
-#: until the entry arrives here.
+#: until the entry arrives at this host.
 TARGET_REWRITE_GRACE = 2.5
 
 #: Seconds that operators have to renew the drain of a zone, or a newer configuration.
--- a/citronspring/tokens/store_reader.py
+++ b/citronspring/tokens/store_reader.py
@@ -133,7 +133,7 @@
 
 
 def is_current(tables: Tables, times: ReaderTimes, now: float) -> bool:
-    """Whether every change that is older than the bound has been applied here.
+    """Whether every change that is older than the bound has been applied.
 
     A store that was restored from a backup only confirms what it holds, which may be
     less than what it had accepted from operators.
--- a/citronspring/tokens/tables.py
+++ b/citronspring/tokens/tables.py
@@ -62,11 +62,11 @@
 class StoreReaderState:
     """How current the host's state is, and its next call to the store."""
 
-    #: Largest revision of the store whose entries have been applied here.
+    #: Largest revision of the store whose entries this host has applied.
     revision: int = 0
     #: False until a complete list has been applied, and after the history was lost.
     listed: bool = False
-    #: Time up to which all changes have been applied here.
+    #: Time up to which this host has applied all changes.
     current_at: float = -INFINITY
     #: Time from which the next call may be made.
     call_at: float = 0.0
@@ -153,7 +153,7 @@
 
 @record
 class ChangeLog:
-    """Changes applied here, for followers; the oldest are dropped."""
+    """Changes that this host has applied, for followers; the oldest are dropped."""
 
     #: Changes of the answer that is being applied.
     pending: list[FeedChange] = field(default_factory=list)
--- a/tests/test_systems/test_binding.py
+++ b/tests/test_systems/test_binding.py
@@ -160,7 +160,7 @@
 
 
 def test_previous_owner_keeps_its_placement_unless_the_target_leaves(snapshot):
-    """A repeated SYN goes to the target that has answered it, unless that is leaving.
+    """A retransmitted SYN goes to the target that answered it, unless that is leaving.
 
     This host still considers itself the owner and has placed the SYN; the new owner
     proposes another target. The first placement is kept, as the caller may have its
--- a/tests/test_tokens/test_evidence.py
+++ b/tests/test_tokens/test_evidence.py
@@ -225,7 +225,7 @@
     def test_reset_after_the_removal_is_final(self):
         """A target's entry was removed, and the store has answered since.
 
-        The target is gone, so an idempotent request to it is reset immediately.
+        The target was removed, so an idempotent request to it is reset immediately.
         """
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
--- a/tests/test_tokens/test_warmup.py
+++ b/tests/test_tokens/test_warmup.py
@@ -37,8 +37,8 @@
     assert "i-2" in place(driver, range(30, 40))
 
 
-def test_target_in_warmup_gets_no_flow_while_warm_ones_are_overloaded():
-    """In a burst the warm targets leave openings unanswered and seem unresponsive."""
+def test_target_in_warmup_gets_no_flow_while_warmed_up_ones_are_overloaded():
+    """In a burst the warmed-up targets do not answer and seem unresponsive."""
     driver = Driver(make_target(1), make_target(2), make_target(3, warmup=2.0))
     for port in range(UNREACHABLE_TIMEOUTS // 2):
         driver.caller(port, ORDERS).open()
@@ -61,7 +61,7 @@
 
 
 def test_target_in_warmup_is_used_when_the_warm_one_crashed():
-    """The only warm target has crashed; its entry is still there."""
+    """The only warmed-up target has crashed; its entry is still there."""
     driver = Driver(make_target(1), make_target(2, warmup=9.0))
     tried = []
     for port in range(UNREACHABLE_TIMEOUTS):
@@ -74,7 +74,7 @@
 
 
 def test_targets_in_warmup_of_a_partitioned_zone_are_used():
-    """The host's zone has restarted and is partitioned from the warm targets."""
+    """The host's zone has restarted and is partitioned from the warmed-up targets."""
     driver = Driver(
         make_target(1, warmup=20.0), make_target(2, "south"), make_target(3, "south")
     )
@@ -127,7 +127,7 @@
 
 
 def test_target_that_recovers_after_long_is_used_again():
-    """A target left many openings unanswered and has recovered; others are warm.
+    """A target left many openings unanswered and has recovered; others have warmed up.
 
     If it were excluded permanently, the others would carry its load forever.
     """
