--- a/tests/test_tokens/test_warmup.py
+++ b/tests/test_tokens/test_warmup.py
@@ -25,7 +25,7 @@
     return [driver.caller(port, ORDERS).connect().target.target_id for port in ports]
 
 
-def test_target_in_warmup_gets_no_flow_while_another_is_warm():
+def test_target_in_warmup_gets_no_flow_while_another_has_warmed_up():
     """A zone recovers with targets that are slow and hold no flow.
 
     By their flows alone they are the least loaded: every host would give them its next
@@ -55,12 +55,12 @@
     assert set(place(driver, range(4))) == {"i-1", "i-2"}
 
 
-def test_target_in_warmup_is_used_when_the_warm_ones_leave():
+def test_target_in_warmup_is_used_when_the_warmed_up_ones_leave():
     driver = Driver(make_target(1, leaving=True), make_target(2, warmup=2.0))
     assert set(place(driver, range(4))) == {"i-2"}
 
 
-def test_target_in_warmup_is_used_when_the_warm_one_crashed():
+def test_target_in_warmup_is_used_when_the_warmed_up_one_crashed():
     """The only warmed-up target has crashed; its entry is still there."""
     driver = Driver(make_target(1), make_target(2, warmup=9.0))
     tried = []
@@ -118,7 +118,7 @@
     return poll_reader(reader, after)
 
 
-def test_snapshot_of_a_warm_target_has_no_warmup():
+def test_snapshot_of_a_warmed_up_target_has_no_warmup():
     peer = Driver(make_target(1, warmup=2.0))
     peer.now += 3.0
     status, body = peer.core.snapshot(peer.now)
