--- a/citronspring/systems/limits.py
+++ b/citronspring/systems/limits.py
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from citronspring.tables import AccountRow, Tables, TargetRow
 
-#: Seconds after which a refused caller is told to come back, unless the reason of the
-#: refusal gives a time.
+#: Seconds after which a refused caller may retry, unless the reason of the refusal
+#: gives a time.
 RETRY_AFTER = 2.0
 
 #: New flows a client account may open at once beyond its rate, in seconds of rate.
@@ -111,7 +111,7 @@
     spare = max(0, share - lending.announced_cap)
     if lending.cap_expires_at > now or members == 1:
         return spare
-    owed = 0
+    lent = 0
     for peer, index in tables.owners.positions.items():
         if peer == tables.host_id:
             continue
@@ -123,8 +123,8 @@
         ):
             excess = use.open_flows - connection_share(tables, account, peer)
             borrowable = min(borrowable, max(0, excess))
-        owed += borrowable
-    return owed
+        lent += borrowable
+    return lent
 
 
 def borrowed_quota(tables: Tables, account: AccountRow, now: float) -> int:
@@ -160,7 +160,7 @@
 
     A host that uses up to half of its share lends half of the rest. One that needs more
     lends nothing: it reports its whole share, or what it holds beyond it, which also
-    tells the peers that the quota is contended.
+    shows the peers that the quota is contended.
     """
     share = connection_share(tables, account, tables.host_id)
     use = account.open_flows
--- a/tests/test_daemons/test_http_server.py
+++ b/tests/test_daemons/test_http_server.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 6, 10, 18, 30])
-def test_request_in_two_segments_is_read_whole(cut):
+def test_request_in_two_segments_is_read_completely(cut):
     """A follower's request arrives in two TCP segments.
 
     The parser reported the path in two pieces. Only the second one was kept, so the
@@ -135,7 +135,7 @@
     """A follower that is to receive 200 KB finds the connection closed.
 
     The server sent what one write accepted and closed the connection. Nine followers of
-    three readers were to get a difference of 1,400 routes that way: 626 times "the
+    three readers were to get a difference of 1,400 routes, and reported 626 times "the
     connection was closed".
     """
     large = "x" * 20_000_000
--- a/tests/test_systems/test_openings.py
+++ b/tests/test_systems/test_openings.py
@@ -154,7 +154,7 @@
 
 
 def test_refusing_targets_are_tried_and_then_the_caller_is_refused(snapshot):
-    """A caller is told at once, and correctly, that nothing was run.
+    """A caller learns at once, and correctly, that nothing was run.
 
     Every target refuses the SYN with a reset, while their endpoints report healthy.
     Each is tried once. Then the refusal is sent immediately, without a time-out, with
@@ -189,8 +189,8 @@
             continue
         if isinstance(actions[-1], Refuse):
             return tried, actions
-        send, copy = actions
-        assert (copy.kind, copy.target_id) == (RelayKind.BIND, send.target_id)
+        send, bind = actions
+        assert (bind.kind, bind.target_id) == (RelayKind.BIND, send.target_id)
         tried.append(send.target_id)
     raise AssertionError("never refused")
 
@@ -236,7 +236,7 @@
 
 @pytest.mark.parametrize("confirm", [False, True])
 def test_no_refusal_once_the_caller_was_answered(snapshot, confirm):
-    """A caller whose request may have run is never told that it was not.
+    """A caller whose request may have run never gets a refusal, which denies that.
 
     After the caller has confirmed the target's answer, its data may have run. Only the
     target's own reset ends such a flow, and no time-out refuses it.
@@ -277,13 +277,13 @@
     """
     core = driver.make_core(snapshot, hosts=3)
     flow = driver.owned_flow(core, owner=False)
-    [ask] = core.receive(driver.relayed(driver.syn(flow)), 0.0)
-    assert (ask.kind, ask.host_id) == (
+    [query] = core.receive(driver.relayed(driver.syn(flow)), 0.0)
+    assert (query.kind, query.host_id) == (
         RelayKind.QUERY,
         core.tables.owners.owner_and_backup(flow)[0],
     )
     assert (open_count(core), core.tables.openings) == (0, {})
-    owner = driver.make_core(snapshot, hosts=3, index=int(ask.host_id[-1]))
+    owner = driver.make_core(snapshot, hosts=3, index=int(query.host_id[-1]))
     event = driver.relayed(driver.syn(flow), "host-0", RelayKind.QUERY)
     [proposal] = owner.receive(event, 0.0)
     assert proposal.kind is RelayKind.PROPOSE
@@ -317,7 +317,7 @@
     """A datagram flow continues although its owner was replaced.
 
     The backup host holds its binding; the new owner, which does not know the flow,
-    places it elsewhere. The backup host sends the packet to its own target and tells
+    places it elsewhere. The backup host sends the packet to its own target and notifies
     the owner.
     """
     second = driver.make_core(snapshot, hosts=2, index=1)
--- a/tests/test_tokens/test_change_feed.py
+++ b/tests/test_tokens/test_change_feed.py
@@ -73,7 +73,7 @@
 def test_entry_newer_than_the_first_page_is_served():
     """A target starts to leave while the zone reader lists the store page by page.
 
-    A follower that has read up to the first page would not hear of it: the zone
+    A follower that has read up to the first page would not receive it: the zone
     reader's watch brings the entry again, but it is no change there any more.
     """
     driver = make_zone_reader(make_target(1), make_target(2))
@@ -111,7 +111,7 @@
     """A zone reader loses its registration to another host and continues to serve.
 
     Its followers read on from its revision, past the change of the registration. If
-    that were not passed on, they would follow no host once this reader is gone.
+    that were not sent to them, they would follow no host once this reader stops.
     """
     driver = make_zone_reader()
     other = ZoneReader("north", "host-7", Endpoint("10.1.0.7", 8166), 4)
@@ -158,7 +158,7 @@
 def test_follower_too_far_behind_is_sent_to_the_store():
     """A host returns to a zone reader whose log no longer holds what it missed.
 
-    With only the newer changes, it would never hear of a removed target.
+    With only the newer changes, it would never learn of a removed target.
     """
     driver = make_zone_reader()
     assert isinstance(poll_reader(driver, after=0), HistoryLost)
@@ -169,7 +169,7 @@
 
 
 def test_changes_of_a_second_list_are_served():
-    """A target is removed while the store loses its history and watches stay silent.
+    """A target is removed while the store loses its history and watches report nothing.
 
     The zone reader learns of it from a list. Its followers, which were at the same
     revision, have missed it too.
--- a/tests/test_tokens/test_evidence.py
+++ b/tests/test_tokens/test_evidence.py
@@ -77,10 +77,10 @@
         assert row.timeouts == 0
 
     def test_retransmissions_of_one_request_count_once(self):
-        """Two copies of a request are lost in a burst, and the third arrives.
+        """A request and its first retransmission are lost in a burst, not the second.
 
-        The target is healthy and answers it. If each copy counted, the first two would
-        have reset a flow that goes on.
+        The target is healthy and answers it. If each retransmission counted, the flow
+        would be reset although it goes on.
         """
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
@@ -198,7 +198,7 @@
         """An order was sent to a target that no longer answers.
 
         It may have run. A reset would end the flow before a late answer, and would not
-        tell the caller whether it has run.
+        show the caller whether it has run.
         """
         driver = Driver(make_target(1))
         caller = driver.caller(1, ORDERS)
@@ -225,7 +225,7 @@
     def test_reset_after_the_removal_is_final(self):
         """A target's entry was removed, and the store has answered since.
 
-        The target is gone, so an idempotent request to it is reset immediately.
+        The target was removed, so an idempotent request to it is reset immediately.
         """
         driver = Driver(make_target(1), make_target(2))
         caller = driver.caller(1)
